--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -3,8 +3,8 @@
 import result
 
 from pollenfork.fleet import offers
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import messages
 from pollenfork.gateway import refusals
 from pollenfork.gateway import replies
@@ -20,7 +20,7 @@
 
 
 def admit(
-    known: knowledge.Knowledge,
+    known: cluster_state.ClusterState,
     call: messages.Call,
     head: messages.CallHead,
     now: float,
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -18,6 +18,7 @@
 from pollenfork.fleet import repeats
 from pollenfork.gateway import cache_feed
 from pollenfork.gateway import callers
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
 from pollenfork.gateway import edges
@@ -25,7 +26,6 @@
 from pollenfork.gateway import intake
 from pollenfork.gateway import keeping
 from pollenfork.gateway import kept_page
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import limit_events
 from pollenfork.gateway import officer
 from pollenfork.gateway import ordering
@@ -96,7 +96,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._listeners: list[asyncio.Server] = []
         self.counters = counters.Counters()
-        self.known = knowledge.Knowledge(
+        self.known = cluster_state.ClusterState(
             store, told.revocation_s, told.heartbeat_s
         )
         connections = pool.Pool(self._loop)
--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -20,8 +20,8 @@
 from pollenfork.fleet import model as fleet
 from pollenfork.fleet import registry
 from pollenfork.gateway import client
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import edges
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import peers
 from pollenfork.loads import messages as loads
 
@@ -55,7 +55,7 @@
         self,
         codec: edges.CacheCodec,
         chooser: choice.Chooser,
-        known: knowledge.Knowledge,
+        known: cluster_state.ClusterState,
         data_centre: ids.DataCentre,
         rng: random.Random,
     ) -> None:
--- a/pollenfork/gateway/knowledge.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -22,7 +22,7 @@
 _LOG = logging.getLogger(__name__)
 
 
-class Knowledge:
+class ClusterState:
     """Takes rows of the store; answers what they mean.
 
     Attributes:
--- a/pollenfork/gateway/intake.py
+++ b/pollenfork/gateway/intake.py
@@ -7,9 +7,9 @@
 from pollenfork import logs
 from pollenfork.gateway import admission
 from pollenfork.gateway import callers
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
 from pollenfork.gateway import exchange
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import messages
 from pollenfork.gateway import readiness
 from pollenfork.gateway import replies
@@ -25,7 +25,7 @@
     def __init__(
         self,
         tools: context.Tools,
-        known: knowledge.Knowledge,
+        known: cluster_state.ClusterState,
         ready: readiness.Readiness,
     ) -> None:
         """Takes what it needs.
--- a/pollenfork/gateway/ordering.py
+++ b/pollenfork/gateway/ordering.py
@@ -9,7 +9,7 @@
 from pollenfork.duties import rows
 from pollenfork.fleet import choice
 from pollenfork.fleet import offers
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.routes import model as routes
 from pollenfork.scaling import demand
 from pollenfork.scaling import model
@@ -29,7 +29,7 @@
     def __init__(
         self,
         held: office.Office,
-        known: knowledge.Knowledge,
+        known: cluster_state.ClusterState,
         chooser: choice.Chooser,
     ) -> None:
         """Takes what it needs.
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -8,7 +8,7 @@
 from pollenfork import ids
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import settings
 from pollenfork.loads import core
 from pollenfork.loads import limit_messages
@@ -28,7 +28,7 @@
     def __init__(
         self,
         chooser: choice.Chooser,
-        known: knowledge.Knowledge,
+        known: cluster_state.ClusterState,
         found: evidence.Evidence,
         suspected: quarantine.Quarantine,
         data_centre: ids.DataCentre,
--- a/pollenfork/gateway/readiness.py
+++ b/pollenfork/gateway/readiness.py
@@ -4,7 +4,7 @@
 import enum
 import logging
 
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 
 _LOG = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
     """
 
     def __init__(
-        self, known: knowledge.Knowledge, is_stopping: Callable[[], bool]
+        self, known: cluster_state.ClusterState, is_stopping: Callable[[], bool]
     ) -> None:
         self._known = known
         self._is_stopping = is_stopping
--- a/pollenfork/gateway/scrape.py
+++ b/pollenfork/gateway/scrape.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
-from pollenfork.gateway import knowledge
 
 if TYPE_CHECKING:
     from pollenfork import metrics
@@ -15,7 +15,7 @@
 def show(
     shown: "metrics.Metrics",
     tools: context.Tools,
-    known: knowledge.Knowledge,
+    known: cluster_state.ClusterState,
     caller_faults: Mapping[str, int],
 ) -> None:
     """Shows the counts of all parts, and the settings.
@@ -33,7 +33,9 @@
 
 
 def _show_runners(
-    shown: "metrics.Metrics", tools: context.Tools, known: knowledge.Knowledge
+    shown: "metrics.Metrics",
+    tools: context.Tools,
+    known: cluster_state.ClusterState,
 ) -> None:
     for event, count in msgspec.structs.asdict(tools.pool.counters).items():
         shown.set_count(
@@ -56,7 +58,7 @@
 
 
 def _show_settings(
-    shown: "metrics.Metrics", known: knowledge.Knowledge, now: float
+    shown: "metrics.Metrics", known: cluster_state.ClusterState, now: float
 ) -> None:
     if known.lookup is not None:
         version = known.lookup.configuration.version
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from pollenfork.catalogue import watch
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import edges
 from pollenfork.gateway import following
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import news
 from pollenfork.gateway import peers
 from pollenfork.gateway import settings
@@ -52,7 +52,7 @@
         self,
         address: settings.Address,
         store: edges.Store,
-        known: knowledge.Knowledge,
+        known: cluster_state.ClusterState,
         rng: random.Random,
     ) -> None:
         """Takes what it needs.
--- a/pollenfork/gateway/tests/test_knowledge.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -9,7 +9,7 @@
 from pollenfork.catalogue import messages as catalogue
 from pollenfork.fleet import errors
 from pollenfork.fleet.tests import test_registry
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import readiness
 from pollenfork.loads import messages
 from pollenfork.routes import model as routes
@@ -38,8 +38,8 @@
         return result.Ok(test_registry.make_runner(row.key))
 
 
-def make_known() -> knowledge.Knowledge:
-    return knowledge.Knowledge(Store(), revocation_s=5.0)
+def make_known() -> cluster_state.ClusterState:
+    return cluster_state.ClusterState(Store(), revocation_s=5.0)
 
 
 def configure(known, version: int, row: int, through: int | None = None):
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -22,12 +22,12 @@
 import result
 
 from pollenfork.catalogue import messages
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import settings
 from pollenfork.gateway import sources
 from pollenfork.gateway import tables
+from pollenfork.gateway.tests import test_cluster_state
 from pollenfork.gateway.tests import test_following
-from pollenfork.gateway.tests import test_knowledge
 from pollenfork.gateway.tests import test_sources
 from pollenfork.loads import messages as loads
 
@@ -69,7 +69,7 @@
         return super().read(status, body)
 
 
-class Decoder(test_knowledge.Store):
+class Decoder(test_cluster_state.Store):
     """Reads the one row as a configuration and as a runner."""
 
     def __init__(self, standin: Store) -> None:
@@ -88,7 +88,7 @@
         self.loop = asyncio.get_running_loop()
         self.standin = standin
         store = Decoder(standin)
-        self.known = knowledge.Knowledge(store, 5.0)
+        self.known = cluster_state.ClusterState(store, 5.0)
         self.others = test_sources.Others()
         self.sources = sources.Sources(
             address, store, self.known, random.Random(1)
@@ -101,7 +101,7 @@
 
     @property
     def takers(self) -> list[str]:
-        return test_knowledge.list_runners(self.known)
+        return test_cluster_state.list_runners(self.known)
 
     def hear_proof(self, news: int, age_s: float = 0.1) -> None:
         """Hears from a relay elsewhere, which the store answers."""
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -5,18 +5,18 @@
 import random
 
 from pollenfork.catalogue import messages
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import settings
 from pollenfork.gateway import sources
 from pollenfork.gateway import tables
+from pollenfork.gateway.tests import test_cluster_state
 from pollenfork.gateway.tests import test_following
-from pollenfork.gateway.tests import test_knowledge
 from pollenfork.loads import messages as loads
 
 _HOST = "127.0.0.1"
 
 
-class Store(test_knowledge.Store):
+class Store(test_cluster_state.Store):
     """Writes calls that a stand-in turns away, and reads rows."""
 
     def __init__(self, standin: test_following.Store) -> None:
@@ -58,7 +58,7 @@
         store = Store(standin)
         self.others = Others()
         self.others.hosts["teller"] = address
-        self.known = knowledge.Knowledge(store, 5.0)
+        self.known = cluster_state.ClusterState(store, 5.0)
         self.sources: sources.Sources
 
     def hear(
--- a/pollenfork/platform/tests/simulation/site.py
+++ b/pollenfork/platform/tests/simulation/site.py
@@ -7,7 +7,7 @@
 from pollenfork import ids
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
-from pollenfork.gateway import knowledge
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import peers
 from pollenfork.gateway import settings
 from pollenfork.gateway import sources
@@ -76,7 +76,7 @@
         self._seeds = tuple(settings.Address(each, PORT) for each in seeds)
         self._rng = random.Random(seed)
         self._tasks: list[asyncio.Task[None]] = []
-        self.known: knowledge.Knowledge | None = None
+        self.known: cluster_state.ClusterState | None = None
         self.suspected: quarantine.Quarantine | None = None
 
     def start(self, ways: network.Network) -> None:
@@ -121,7 +121,7 @@
     def _begin(self, ways: network.Network) -> None:
         loop = asyncio.get_running_loop()
         codec = platform.Store(f"{STORE.host}:{STORE.port}")
-        self.known = known = knowledge.Knowledge(codec, 5.0)
+        self.known = known = cluster_state.ClusterState(codec, 5.0)
         followed = sources.Sources(STORE, codec, known, self._rng)
         self._tasks = [
             *followed.start(),
@@ -164,7 +164,7 @@
         await loop.create_server(server.make_connection, *me)
         await joined.run()
 
-    async def _expire(self, known: knowledge.Knowledge) -> None:
+    async def _expire(self, known: cluster_state.ClusterState) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(_EXPIRE_S)
--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -9,8 +9,8 @@
 import pytest
 
 from pollenfork.catalogue import outages
+from pollenfork.gateway import cluster_state
 from pollenfork.gateway import following
-from pollenfork.gateway import knowledge
 from pollenfork.gateway import news
 from pollenfork.platform.tests.simulation import judge
 from pollenfork.platform.tests.simulation import play
@@ -154,12 +154,12 @@
         self.take_versions(proof, teller)
         self.freshness.vouch(moment)
 
-    monkeypatch.setattr(knowledge.Knowledge, "take_proof", take_proof)
+    monkeypatch.setattr(cluster_state.ClusterState, "take_proof", take_proof)
     assert "false_proof" in list_rules([3, 8, 44, 56])
 
 
 def test_a_runner_that_takes_work_again_is_seen(monkeypatch) -> None:
-    expire = knowledge.Knowledge.expire_runners
+    expire = cluster_state.ClusterState.expire_runners
     left = []
 
     def bring_back(self, now):
@@ -172,5 +172,7 @@
                 again = msgspec.structs.replace(runner, leaving=False)
                 known.runners.put(again)
 
-    monkeypatch.setattr(knowledge.Knowledge, "expire_runners", bring_back)
+    monkeypatch.setattr(
+        cluster_state.ClusterState, "expire_runners", bring_back
+    )
     assert "goes_back" in list_rules([3])
