--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -12,8 +12,8 @@
 from pollenfork.fleet import errors as fleet_errors
 from pollenfork.fleet import registry
 from pollenfork.gateway import edges
-from pollenfork.gateway import news
 from pollenfork.gateway import settings
+from pollenfork.gateway import version_tracker
 from pollenfork.loads import messages
 from pollenfork.routes import freshness
 from pollenfork.routes import lookup
@@ -58,8 +58,8 @@
         self.runners = registry.Registry()
         self.has_runners = False
         self._proof_at: float | None = None
-        self.configuration_news = news.TableNews()
-        self.runners_news = news.TableNews()
+        self.configuration_versions = version_tracker.VersionTracker()
+        self.runners_versions = version_tracker.VersionTracker()
 
     def note_current(self, moment: float) -> None:
         """Takes this instance's own proof that the configuration is current."""
@@ -87,8 +87,8 @@
         if age_s is None:
             return None
         return messages.Proof(
-            self.configuration_news.last_change,
-            self.runners_news.last_change,
+            self.configuration_versions.last_change,
+            self.runners_versions.last_change,
             age_s,
             self._outages.read_age(now),
         )
@@ -107,18 +107,18 @@
         self.note_answer(moment)
         if self._proof_at is None or moment > self._proof_at:
             self._proof_at = moment
-        if proof.configuration <= self.configuration_news.through:
+        if proof.configuration <= self.configuration_versions.through:
             self.freshness.vouch(moment)
 
     def take_versions(self, proof: messages.Proof, teller: str) -> None:
         """Takes what another instance has read, whenever that was."""
-        self.configuration_news.take_word(proof.configuration, teller)
-        self.runners_news.take_word(proof.runners, teller)
+        self.configuration_versions.note_announced(proof.configuration, teller)
+        self.runners_versions.note_announced(proof.runners, teller)
 
     def pass_over(self, teller: str) -> None:
         """Takes that another instance doesn't answer."""
-        self.configuration_news.pass_over(teller)
-        self.runners_news.pass_over(teller)
+        self.configuration_versions.pass_over(teller)
+        self.runners_versions.pass_over(teller)
 
     def follows_relay(self, now: float) -> bool:
         """Returns whether a relay's word is recent enough to go by."""
@@ -134,7 +134,7 @@
 
     def take_configuration(self, changes: catalogue.Changes) -> None:
         """Puts a newer configuration in force."""
-        self.configuration_news.take(changes)
+        self.configuration_versions.take(changes)
         for row in changes.rows:
             read = self._store.read_configuration(row)
             if read is None:
@@ -167,7 +167,7 @@
     def take_runners(self, changes: catalogue.Changes, now: float) -> None:
         """Takes runners that came, changed or left."""
         self.has_runners = True
-        self.runners_news.take(changes)
+        self.runners_versions.take(changes)
         for row in changes.rows:
             if row.removed:
                 self._remove_runner(row, changes.way, now)
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -10,10 +10,10 @@
 from pollenfork.gateway import cluster_state
 from pollenfork.gateway import edges
 from pollenfork.gateway import following
-from pollenfork.gateway import news
 from pollenfork.gateway import peers
 from pollenfork.gateway import settings
 from pollenfork.gateway import tables
+from pollenfork.gateway import version_tracker
 
 # How long the store holds a call when nothing changes, in seconds. The
 # configuration's calls also prove that keys still hold, which must be known
@@ -109,9 +109,9 @@
         self._configuration.set_wait(
             _PROVEN_WAIT_S if proven else _CONFIGURATION_WAIT_S
         )
-        if known.configuration_news.is_behind(now):
+        if known.configuration_versions.is_behind(now):
             self._configuration.hurry()
-        if known.runners_news.is_behind(now):
+        if known.runners_versions.is_behind(now):
             self._runners.hurry()
 
     def _guide(self, others: peers.Peers, now: float) -> None:
@@ -122,14 +122,14 @@
         relays = relay is None
         followed = relay if known.follows_relay(now) else None
         configuration = _choose_guide(
-            known.configuration_news, followed, others, now
+            known.configuration_versions, followed, others, now
         )
         overdue = configuration.relay is None and age_s > _OVERDUE_S
         self._configuration.guide(
             msgspec.structs.replace(configuration, at_once=overdue)
         )
         self._runners.guide(
-            _choose_guide(known.runners_news, followed, others, now)
+            _choose_guide(known.runners_versions, followed, others, now)
         )
         self._runners.set_wait(
             _RELAY_RUNNERS_WAIT_S if relays else _RUNNERS_WAIT_S
@@ -173,7 +173,7 @@
 
 
 def _choose_guide(
-    table: news.TableNews,
+    table: version_tracker.VersionTracker,
     relay: settings.Address | None,
     others: peers.Peers,
     now: float,
@@ -192,7 +192,9 @@
         # The store may turn this one away and not the one that told of the
         # news. That is asked, however old its proof: its rows are newer all
         # the same.
-        return following.Guide(teller if table.lacks(now) else None, newer)
+        return following.Guide(
+            teller if table.is_store_late(now) else None, newer
+        )
     if newer and teller is not None and teller != relay:
         if not table.is_relay_late(now):
             return following.Guide(relay)
--- a/pollenfork/gateway/tests/test_budget.py
+++ b/pollenfork/gateway/tests/test_budget.py
@@ -10,8 +10,8 @@
 
 from pollenfork.catalogue import outages
 from pollenfork.gateway import following
-from pollenfork.gateway import news
 from pollenfork.gateway import sources
+from pollenfork.gateway import version_tracker
 from pollenfork.loads import core
 from pollenfork.loads import lines
 
@@ -22,7 +22,7 @@
 # nearby take some milliseconds each, on a busy machine this much, in seconds.
 _CALL_S = 0.02
 _REST_S = sources._RUNNERS_REST_S
-_LACKING_S = news.TableNews.LACKING_S
+_LACKING_S = version_tracker.VersionTracker.LACKING_S
 # Told at the next period, and looked at in the next one there.
 _TELL_S = 2 * core.PERIOD_S + _CALL_S
 _FROM_STORE_S = _REST_S + _CALL_S
@@ -30,7 +30,12 @@
 _TO_TURNED_AWAY_S = _TELL_S + _LACKING_S + _CALL_S
 # Any other instance that knows tells it at its next period, and is asked where
 # the relay doesn't bring it, in the period in which that shows.
-_TOLD_S = _TELL_S + news.TableNews.RELAY_LATE_S + core.PERIOD_S + _CALL_S
+_TOLD_S = (
+    _TELL_S
+    + version_tracker.VersionTracker.RELAY_LATE_S
+    + core.PERIOD_S
+    + _CALL_S
+)
 # A relay that doesn't answer, and the look for whom else to ask.
 _GIVEN_UP_S = following._RELAY_TIMEOUT_S + following._LOOK_S
 
@@ -84,4 +89,4 @@
 
 
 def test_a_relay_that_does_not_answer_is_left_before_news_is_late() -> None:
-    assert following._RELAY_TIMEOUT_S < news.TableNews.BEHIND_S
+    assert following._RELAY_TIMEOUT_S < version_tracker.VersionTracker.BEHIND_S
--- a/pollenfork/gateway/tests/test_cluster_state.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -127,13 +127,13 @@
     known.take_proof(messages.Proof(11, 0, 0.2), 100.0, "a")
     assert not known.freshness.trusts_keys(100.0)
     assert (
-        known.configuration_news.is_newer_elsewhere
-        and not known.runners_news.is_newer_elsewhere
+        known.configuration_versions.is_newer_elsewhere
+        and not known.runners_versions.is_newer_elsewhere
     )
     configure(known, 6, 11)
     known.take_proof(messages.Proof(11, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
-    assert not known.configuration_news.is_newer_elsewhere
+    assert not known.configuration_versions.is_newer_elsewhere
     assert known.follows_relay(101.4)
     assert not known.follows_relay(101.6)
 
@@ -149,13 +149,13 @@
     known = make_known()
     configure(known, 5, 10)
     known.take_proof(messages.Proof(10, 30, 0.0), 100.0, "a")
-    assert not known.configuration_news.is_behind(100.0)
-    assert not known.runners_news.is_behind(100.0)
-    assert known.runners_news.is_behind(100.6)
+    assert not known.configuration_versions.is_behind(100.0)
+    assert not known.runners_versions.is_behind(100.0)
+    assert known.runners_versions.is_behind(100.6)
     # Said once, then only when it has lasted again.
-    assert not known.runners_news.is_behind(100.7)
+    assert not known.runners_versions.is_behind(100.7)
     known.take_runners(catalogue.Changes((), 30), 100.8)
-    assert not known.runners_news.is_behind(102.0)
+    assert not known.runners_versions.is_behind(102.0)
 
 
 def test_news_of_one_relay_outlasts_older_words_of_others() -> None:
@@ -165,20 +165,20 @@
     while now < 100.4:
         known.take_proof(messages.Proof(10, 30, 0.0), now, "a")
         known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
-        lacking = known.runners_news.lacks(now)
+        lacking = known.runners_versions.is_store_late(now)
         now += 0.05
-    assert lacking and known.runners_news.teller == "a"
+    assert lacking and known.runners_versions.teller == "a"
     known.take_runners(catalogue.Changes((), 30), now)
     known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
-    assert not known.runners_news.is_newer_elsewhere
+    assert not known.runners_versions.is_newer_elsewhere
 
 
 def test_versions_alone_prove_no_moment() -> None:
     known = make_known()
     configure(known, 5, 10)
     known.take_versions(messages.Proof(12, 30, 0.0), "c")
-    assert known.configuration_news.is_newer_elsewhere
-    assert known.configuration_news.teller == "c"
+    assert known.configuration_versions.is_newer_elsewhere
+    assert known.configuration_versions.teller == "c"
     assert not known.follows_relay(100.0)
     assert known.freshness.age(100.0) is None
 
@@ -227,7 +227,7 @@
 def test_a_removed_entry_that_is_kept_is_logged_with_for_how_long(
     caplog,
 ) -> None:
-    caplog.set_level(logging.INFO, "pollenfork.gateway.knowledge")
+    caplog.set_level(logging.INFO, "pollenfork.gateway.cluster_state")
     known = make_known()
     rows = (catalogue.Row("r", b"", 12),)
     known.take_runners(catalogue.Changes(rows, 12), 98.0)
@@ -286,6 +286,6 @@
     lacking = []
     for step in range(30):
         now = 100.0 + step * 0.05
-        known.runners_news.is_behind(now)
-        lacking.append(known.runners_news.lacks(now))
+        known.runners_versions.is_behind(now)
+        lacking.append(known.runners_versions.is_store_late(now))
     assert lacking == sorted(lacking) and sum(lacking) > 20
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -192,7 +192,9 @@
         bench.others.hosts["teller"] = loads.Address(_HOST, 1)
         bench.hear(9)
         # It lacks the news for long enough to turn to the teller first.
-        while not bench.known.configuration_news.lacks(bench.loop.time()):
+        while not bench.known.configuration_versions.is_store_late(
+            bench.loop.time()
+        ):
             bench.sources.choose(bench.others)
             await asyncio.sleep(0.02)
         bench.store.rows = messages.Rows((messages.Row("c", b"6", 9),), 9)
--- a/pollenfork/gateway/news.py
+++ b/pollenfork/gateway/version_tracker.py
@@ -5,7 +5,7 @@
 from pollenfork.catalogue import messages
 
 
-class Word(msgspec.Struct, frozen=True):
+class AnnouncedVersion(msgspec.Struct, frozen=True):
     """The newest version of a table that other instances have told of.
 
     Where the store turns some away, their words differ: the newest counts,
@@ -20,12 +20,16 @@
     version: int = 0
     teller: str = ""
 
-    def renew(self, version: int, teller: str) -> "Word":
+    def renew(self, version: int, teller: str) -> "AnnouncedVersion":
         """Returns the newer of this and what another instance tells."""
-        return Word(version, teller) if version >= self.version else self
+        return (
+            AnnouncedVersion(version, teller)
+            if version >= self.version
+            else self
+        )
 
 
-class TableNews:
+class VersionTracker:
     """Compares what is known of a table with what others tell.
 
     Attributes:
@@ -46,7 +50,7 @@
     def __init__(self) -> None:
         self.through = 0
         self.last_change = 0
-        self._word = Word()
+        self._word = AnnouncedVersion()
         self._since: float | None = None
         self._told_at: float | None = None
 
@@ -65,16 +69,16 @@
         self.through = changes.through
         self.last_change = max(self.last_change, changes.news)
 
-    def take_word(self, version: int, teller: str) -> None:
+    def note_announced(self, version: int, teller: str) -> None:
         """Takes what another instance knows."""
         self._word = self._word.renew(version, teller)
 
     def pass_over(self, teller: str) -> None:
         """Takes that a host doesn't answer: whoever tells next is asked."""
         if self._word.teller == teller:
-            self._word = Word(self._word.version)
+            self._word = AnnouncedVersion(self._word.version)
 
-    def lacks(self, now: float) -> bool:
+    def is_store_late(self, now: float) -> bool:
         """Returns whether news doesn't come from the store in time."""
         return self._measure(now) >= self.LACKING_S
 
--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -11,7 +11,7 @@
 from pollenfork.catalogue import outages
 from pollenfork.gateway import cluster_state
 from pollenfork.gateway import following
-from pollenfork.gateway import news
+from pollenfork.gateway import version_tracker
 from pollenfork.platform.tests.simulation import judge
 from pollenfork.platform.tests.simulation import play
 from pollenfork.platform.tests.simulation import schedules
@@ -140,7 +140,7 @@
 
 def test_news_that_is_not_asked_for_is_seen_as_late(monkeypatch) -> None:
     for limit in ("LACKING_S", "BEHIND_S", "RELAY_LATE_S"):
-        monkeypatch.setattr(news.TableNews, limit, 60.0)
+        monkeypatch.setattr(version_tracker.VersionTracker, limit, 60.0)
     assert "late" in list_rules([44, 56, 88])
 
 
