--- a/benchmarks/duties_cost.py
+++ b/benchmarks/duties_cost.py
@@ -10,7 +10,7 @@
 
 from pollenfork import ids
 from pollenfork.duties import tallies
-from pollenfork.gateway import officer
+from pollenfork.gateway import duty_agent
 from pollenfork.loads import messages
 
 _WINDOWS = tallies.Windows(5.0, 4)
@@ -38,7 +38,7 @@
     names = [ids.AccountId(f"account-{n}") for n in range(accounts)]
     senders = [tallies.Tallies(_WINDOWS) for _ in range(instances)]
     ledger = tallies.Ledger(_WINDOWS)
-    period_s = max(officer._TELL_S, instances * officer._TELL_EACH_S)
+    period_s = max(duty_agent._TELL_S, instances * duty_agent._TELL_EACH_S)
     heard = sent = 0
     spent_s = 0.0
     now = 0.0
--- a/pollenfork/duties/tests/test_bounds.py
+++ b/pollenfork/duties/tests/test_bounds.py
@@ -6,7 +6,7 @@
 import pathlib
 
 from pollenfork.gateway import accounting
-from pollenfork.gateway import officer
+from pollenfork.gateway import duty_agent
 from pollenfork.gateway import platform_calls
 from pollenfork.gateway import settings
 from pollenfork.poison.tests import pages
@@ -15,19 +15,19 @@
 BOUNDS = settings.DutySettings(platform=settings.Address("10.0.0.1", 1))
 CALL_S = 0.1  # To the store or the platform; it answers within 4 ms.
 
-LEASE_S = BOUNDS.alternation_s * officer._LEASE_PART
+LEASE_S = BOUNDS.alternation_s * duty_agent._LEASE_PART
 WAIT_S = LEASE_S + platform_calls.ORDER_S
-LAST_EFFECT_S = LEASE_S - officer._MARGIN_S + platform_calls.ORDER_S
+LAST_EFFECT_S = LEASE_S - duty_agent._MARGIN_S + platform_calls.ORDER_S
 TAKE_OVER_S = CALL_S + WAIT_S + CALL_S
 REPORT_S = accounting._TAKEN_S + 2 * CALL_S
-DEATH_S = officer._SILENT_S + officer._TICK_S + TAKE_OVER_S + REPORT_S
-TURNED_AWAY_S = LEASE_S / 3.0 + 0.3 + officer._TELL_S + officer._TICK_S
+DEATH_S = duty_agent._SILENT_S + duty_agent._TICK_S + TAKE_OVER_S + REPORT_S
+TURNED_AWAY_S = LEASE_S / 3.0 + 0.3 + duty_agent._TELL_S + duty_agent._TICK_S
 
 SUMS = {
     "A, B, A": WAIT_S,
     "a lower number": LAST_EFFECT_S,
     "its holder dies": DEATH_S,
-    "the first candidate": DEATH_S + officer._RANK_S,
+    "the first candidate": DEATH_S + duty_agent._RANK_S,
     "turns the holder away": TURNED_AWAY_S + TAKE_OVER_S + REPORT_S,
 }
 
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -21,13 +21,13 @@
 from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
+from pollenfork.gateway import duty_agent
 from pollenfork.gateway import edges
 from pollenfork.gateway import endings
 from pollenfork.gateway import intake
 from pollenfork.gateway import keeping
 from pollenfork.gateway import kept_page
 from pollenfork.gateway import limit_events
-from pollenfork.gateway import officer
 from pollenfork.gateway import ordering
 from pollenfork.gateway import peers
 from pollenfork.gateway import permits
@@ -115,9 +115,9 @@
             self._loop.time,
         )
         found.when_ended(suspected.note_absent)
-        self._officer: officer.Officer | None = None
+        self._officer: duty_agent.DutyAgent | None = None
         if told.duties is not None:
-            self._officer = officer.Officer(
+            self._officer = duty_agent.DutyAgent(
                 self._loop,
                 told,
                 told.duties,
--- a/pollenfork/gateway/officer.py
+++ b/pollenfork/gateway/duty_agent.py
@@ -45,7 +45,7 @@
 TakeReply = Callable[[messages.Task, messages.Reply, float], None]
 
 
-class Others(Protocol):
+class Peers(Protocol):
     """The other instances, as far as the duties need them."""
 
     @property
@@ -59,7 +59,7 @@
         """Sends one instance a message."""
 
 
-class Officer:
+class DutyAgent:
     """One instance's part in what is done for all.
 
     Attributes:
@@ -112,7 +112,7 @@
             lambda: self.accounts.windows.find(self.accounts.read_time()),
         )
         now = loop.time()
-        self._others: Others | None = None
+        self._others: Peers | None = None
         self._holder = ""
         self._heard_at = self._held_since = now
         self._tell_at = now
@@ -121,7 +121,7 @@
         self._on_held: list[Callable[[float], None]] = []
         self._on_reply: list[TakeReply] = []
 
-    def join(self, others: Others) -> None:
+    def join(self, others: Peers) -> None:
         """Takes the other instances."""
         self._others = others
 
--- a/pollenfork/gateway/tests/test_officer.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -10,7 +10,7 @@
 from pollenfork.catalogue import messages as catalogue
 from pollenfork.duties import messages
 from pollenfork.duties.tests import world as worlds
-from pollenfork.gateway import officer
+from pollenfork.gateway import duty_agent
 from pollenfork.gateway import settings
 
 ACCOUNT = ids.AccountId("a")
@@ -100,7 +100,7 @@
             store=address,
             duties=duties,
         )
-        self.officer = officer.Officer(
+        self.officer = duty_agent.DutyAgent(
             Loop(self.site),
             told,
             duties,
