--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -25,14 +25,14 @@
 from pollenfork.gateway import edges
 from pollenfork.gateway import endings
 from pollenfork.gateway import intake
-from pollenfork.gateway import keeping
-from pollenfork.gateway import kept_page
 from pollenfork.gateway import limit_events
 from pollenfork.gateway import ordering
 from pollenfork.gateway import peers
 from pollenfork.gateway import permits
 from pollenfork.gateway import pool
 from pollenfork.gateway import probing
+from pollenfork.gateway import quarantine_page
+from pollenfork.gateway import quarantine_store
 from pollenfork.gateway import readiness
 from pollenfork.gateway import refusals
 from pollenfork.gateway import scrape
@@ -125,7 +125,9 @@
                 make_cloud(told.duties),
                 rng,
             )
-        self._keeper = keeping.Keeper(told.store, store, suspected, time.time)
+        self._keeper = quarantine_store.QuarantineStore(
+            told.store, store, suspected, time.time
+        )
         self._tools = context.Tools(
             loop=self._loop,
             rng=rng,
@@ -159,7 +161,7 @@
         self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
         self._sources = sources.Sources(told.store, store, self.known, rng)
         self._sources.tables.show(
-            kept_page.KeptPage(suspected, self._loop.time)
+            quarantine_page.QuarantinePage(suspected, self._loop.time)
         )
         self._cache_feed = cache_feed.CacheFeed(
             cache_codec, self._tools.chooser, self.known, told.data_centre, rng
--- a/pollenfork/gateway/kept_page.py
+++ b/pollenfork/gateway/quarantine_page.py
@@ -30,7 +30,7 @@
     ends: list[_End]
 
 
-class KeptPage:
+class QuarantinePage:
     """`GET` lists them, `DELETE` of one lifts it at all instances.
 
     Attributes:
--- a/pollenfork/gateway/keeping.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -46,7 +46,7 @@
     value: bytes | None
 
 
-class Keeper:
+class QuarantineStore:
     """Writes a row when a request is first kept back here, and removes it.
 
     Only instances that saw one of its ends themselves write, three at most. So
--- a/pollenfork/gateway/tests/test_kept_page.py
+++ b/pollenfork/gateway/tests/test_quarantine_page.py
@@ -4,8 +4,8 @@
 
 from pollenfork import ids
 from pollenfork.fleet import registry
-from pollenfork.gateway import kept_page
 from pollenfork.gateway import messages
+from pollenfork.gateway import quarantine_page
 from pollenfork.poison import cases
 from pollenfork.poison import quarantine
 
@@ -26,7 +26,7 @@
         self.closes = True
 
 
-def ask(page: kept_page.KeptPage, method: bytes, target: bytes):
+def ask(page: quarantine_page.QuarantinePage, method: bytes, target: bytes):
     caller = Caller()
     page.serve(
         messages.Call(
@@ -46,7 +46,7 @@
         at = 10.0 + place
         end = cases.End(place, at, at + 0.5, 1)
         suspected.book.note_end(DIGEST, end, 15.0)
-    return kept_page.KeptPage(suspected, lambda: 20.0)
+    return quarantine_page.QuarantinePage(suspected, lambda: 20.0)
 
 
 def test_it_lists_digests_with_the_ends_that_speak_against_them() -> None:
--- a/pollenfork/gateway/tests/test_keeping.py
+++ b/pollenfork/gateway/tests/test_quarantine_store.py
@@ -8,7 +8,7 @@
 from pollenfork.catalogue import changes
 from pollenfork.catalogue import messages as catalogue
 from pollenfork.fleet import registry
-from pollenfork.gateway import keeping
+from pollenfork.gateway import quarantine_store
 from pollenfork.gateway import settings
 from pollenfork.poison import cases
 from pollenfork.poison import quarantine
@@ -64,7 +64,7 @@
         suspected = quarantine.Quarantine(
             registry.Registry(), "10.0.0.1", lambda runner, at: False, loop.time
         )
-        keeper = keeping.Keeper(
+        keeper = quarantine_store.QuarantineStore(
             settings.Address("127.0.0.1", 1),
             store,
             suspected,
@@ -114,7 +114,7 @@
         suspected = quarantine.Quarantine(
             registry.Registry(), "10.0.0.1", lambda runner, at: False, loop.time
         )
-        keeper = keeping.Keeper(
+        keeper = quarantine_store.QuarantineStore(
             settings.Address("127.0.0.1", 1), store, suspected, lambda: 0.0
         )
         answers = list(statuses)
