--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -16,6 +16,7 @@
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import repeats
+from pollenfork.gateway import autoscaler
 from pollenfork.gateway import cache_feed
 from pollenfork.gateway import callers
 from pollenfork.gateway import cluster_state
@@ -26,7 +27,6 @@
 from pollenfork.gateway import endings
 from pollenfork.gateway import intake
 from pollenfork.gateway import limit_events
-from pollenfork.gateway import ordering
 from pollenfork.gateway import peers
 from pollenfork.gateway import permits
 from pollenfork.gateway import pool
@@ -167,7 +167,7 @@
             cache_codec, self._tools.chooser, self.known, told.data_centre, rng
         )
         if self._officer is not None and told.duties and told.duties.scales:
-            orders = ordering.Ordering(
+            orders = autoscaler.Autoscaler(
                 self._officer.office, self.known, chooser
             )
             self._officer.when_held(orders.check)
--- a/pollenfork/gateway/ordering.py
+++ b/pollenfork/gateway/autoscaler.py
@@ -23,7 +23,7 @@
 _SETTLED_S = 1.0
 
 
-class Ordering:
+class Autoscaler:
     """Turns what is known of runners into orders."""
 
     def __init__(
