--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -41,7 +41,7 @@
 ]
 
 
-class Guide(msgspec.Struct, frozen=True):
+class SourceChoice(msgspec.Struct, frozen=True):
     """Whom to ask.
 
     Attributes:
@@ -85,7 +85,7 @@
         self._late = {}
         self._beside: asyncio.Task[float] | None = None
         self._lacking_since: float | None = None
-        self._guide = Guide()
+        self._guide = SourceChoice()
         self._woken = asyncio.Event()
         self._watch = watched
         self._rest_s = rest_s
@@ -122,7 +122,7 @@
         """Calls `call` with when a call was sent that it didn't answer."""
         self._on_failure.append(call)
 
-    def guide(self, guide: Guide) -> None:
+    def set_source(self, guide: SourceChoice) -> None:
         """Takes whom to ask from now on."""
         if guide == self._guide:
             return
@@ -144,7 +144,7 @@
             # may be silent to this instance.
             self._store.break_off()
 
-    def take_silent(self) -> str | None:
+    def take_unresponsive(self) -> str | None:
         """Returns the host that didn't answer since the last call, if any."""
         silent, self._silent = self._silent, None
         return silent
@@ -198,7 +198,7 @@
         """Sets how long the store may hold the next calls, in seconds."""
         self._watch.wait_s = wait_s
 
-    def hurry(self) -> None:
+    def ask_store_now(self) -> None:
         """Asks the store at once; gives up a call that waits for it."""
         if self._waiting:
             self._hurried = True
@@ -226,7 +226,7 @@
         return True
 
     def _take_changes(self, changes: catalogue.Changes) -> None:
-        self._guide = Guide(self._guide.relay)
+        self._guide = SourceChoice(self._guide.relay)
         self._lacking_since = None
         for tell in self._on_changes:
             tell(changes)
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -99,7 +99,7 @@
         now = self._loop.time()
         known = self._known
         for follower in (self._configuration, self._runners):
-            silent = follower.take_silent()
+            silent = follower.take_unresponsive()
             if silent is not None:
                 others.pass_over(silent)
                 known.pass_over(silent)
@@ -110,9 +110,9 @@
             _PROVEN_WAIT_S if proven else _CONFIGURATION_WAIT_S
         )
         if known.configuration_versions.is_behind(now):
-            self._configuration.hurry()
+            self._configuration.ask_store_now()
         if known.runners_versions.is_behind(now):
-            self._runners.hurry()
+            self._runners.ask_store_now()
 
     def _guide(self, others: peers.Peers, now: float) -> None:
         """Tells both followers whom to ask."""
@@ -125,17 +125,17 @@
             known.configuration_versions, followed, others, now
         )
         overdue = configuration.relay is None and age_s > _OVERDUE_S
-        self._configuration.guide(
+        self._configuration.set_source(
             msgspec.structs.replace(configuration, at_once=overdue)
         )
-        self._runners.guide(
+        self._runners.set_source(
             _choose_guide(known.runners_versions, followed, others, now)
         )
         self._runners.set_wait(
             _RELAY_RUNNERS_WAIT_S if relays else _RUNNERS_WAIT_S
         )
         if age_s > (_RELAY_HURRY_S if relays else _HURRY_S):
-            self._configuration.hurry()
+            self._configuration.ask_store_now()
 
     def _make_follower(
         self,
@@ -167,7 +167,7 @@
         )
         # The runners' call may wait on a path that is gone without notice;
         # the configuration's calls are short enough to tell.
-        configuration.when_troubled(lambda lost: runners.hurry())
+        configuration.when_troubled(lambda lost: runners.ask_store_now())
         # One table is enough to find out that the store is back.
         runners.wait_for(configuration)
 
@@ -177,7 +177,7 @@
     relay: settings.Address | None,
     others: peers.Peers,
     now: float,
-) -> following.Guide:
+) -> following.SourceChoice:
     """Returns whom to ask for a table.
 
     Args:
@@ -192,11 +192,11 @@
         # The store may turn this one away and not the one that told of the
         # news. That is asked, however old its proof: its rows are newer all
         # the same.
-        return following.Guide(
+        return following.SourceChoice(
             teller if table.is_store_late(now) else None, newer
         )
     if newer and teller is not None and teller != relay:
         if not table.is_relay_late(now):
-            return following.Guide(relay)
-        return following.Guide(teller, news=True)
-    return following.Guide(relay, newer)
+            return following.SourceChoice(relay)
+        return following.SourceChoice(teller, news=True)
+    return following.SourceChoice(relay, newer)
--- a/pollenfork/gateway/tests/test_following.py
+++ b/pollenfork/gateway/tests/test_following.py
@@ -86,7 +86,7 @@
         self, news: bool = False, relay: bool = True, at_once: bool = False
     ) -> None:
         to = self.relay if relay else None
-        self.follower.guide(following.Guide(to, news, at_once))
+        self.follower.set_source(following.SourceChoice(to, news, at_once))
 
 
 @contextlib.asynccontextmanager
@@ -127,15 +127,15 @@
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         changes = bench.seen[1]
         assert changes.through == 7
         found = {row.key: row.removed for row in changes.rows}
         assert found == {"a": True, "b": False}
-        bench.guide()
+        bench.set_source()
         bench.tell(9, Row("c", b"3", 9))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 3)
         assert len(bench.store.asked) == 2
         # Only the store itself is proof of what is current.
@@ -148,7 +148,7 @@
     async def course(bench):
         bench.store.silent = True
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: bench.seen)
         assert [row.key for row in bench.seen[0].rows] == ["b"]
 
@@ -163,10 +163,10 @@
 
     async def lose(bench) -> None:
         before = count("store_lost")
-        bench.guide(relay=False)
-        bench.follower.hurry()
+        bench.set_source(relay=False)
+        bench.follower.ask_store_now()
         await bench.wait_for(lambda: count("store_lost") > before)
-        bench.guide()
+        bench.set_source()
 
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
@@ -182,10 +182,10 @@
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         bench.store.rows = messages.Rows((Row("c", b"3", 8),), 8)
-        bench.guide(relay=False, at_once=True)
+        bench.set_source(relay=False, at_once=True)
         await bench.wait_for(lambda: len(bench.seen) == 3)
         asked = [(ask.after, ask.wait_s) for ask in bench.store.asked[2:]]
         assert asked[0] == (7, 0.0)
@@ -199,10 +199,10 @@
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         bench.store.rows = messages.Rows((Row("b", b"2", 7),), 7)
-        bench.follower.hurry()
+        bench.follower.ask_store_now()
         await bench.wait_for(lambda: len(bench.proofs) == 2)
         assert bench.store.asked[2].wait_s == 0.0
 
@@ -215,10 +215,10 @@
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         # The store answers from a copy that is older than that.
-        bench.follower.hurry()
+        bench.follower.ask_store_now()
         await bench.wait_for(lambda: "trouble=stale" in caplog.text)
         assert (len(bench.proofs), len(bench.seen)) == (1, 2)
 
@@ -229,11 +229,11 @@
     async def course(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(1, Row("z", b"9", 1))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await asyncio.sleep(0.05)
         assert len(bench.seen) == 1
-        nobody = following.Guide(loads.Address(_HOST, 1), news=True)
-        bench.follower.guide(nobody)
+        nobody = following.SourceChoice(loads.Address(_HOST, 1), news=True)
+        bench.follower.set_source(nobody)
         await bench.wait_for(lambda: "event=relay_silent" in caplog.text)
         assert len(bench.seen) == 1
 
@@ -256,13 +256,13 @@
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         assert len(bench.answers) == 1
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
+        bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         # A call that is given up here shows nothing of the store, nor does
         # what another instance knows.
         assert (len(bench.answers), bench.failures) == (1, [])
         bench.store.silent = True
-        bench.guide(relay=False, at_once=True)
+        bench.set_source(relay=False, at_once=True)
         sent_at = asyncio.get_running_loop().time()
         await bench.wait_for(lambda: bench.failures)
         assert abs(bench.failures[0] - sent_at) < 0.3
@@ -292,12 +292,12 @@
             return await loop.create_future()
 
         loop.create_connection = hang
-        bench.follower.hurry()
+        bench.follower.ask_store_now()
         await bench.wait_for(lambda: len(bench.store.asked) > 2)
         await asyncio.sleep(0.05)
         bench.tell(7, Row("b", b"2", 7))
-        bench.guide(news=True)
-        bench.follower.hurry()  # Breaking it off twice is harmless.
+        bench.set_source(news=True)
+        bench.follower.ask_store_now()  # Breaking it off twice is harmless.
         told_at = loop.time()
         await bench.wait_for(lambda: len(bench.seen) == 2)
         # Connecting to a host that can't be reached takes 0.5 s.
