--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -233,7 +233,7 @@
         me = self._settings.peer
         if me is None:
             return
-        here = peers.Here(
+        here = peers.LocalInstance(
             self._tools.chooser,
             self.known,
             self._tools.evidence,
--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -188,7 +188,7 @@
         request = write(runner, after or 0, _WAIT_S)
         answer = await calls.call(request, _WAIT_S + _SLACK_S)
         if answer is None:
-            return result.Err(Silent(detail="no answer"))
+            return result.Err(NoAnswer(detail="no answer"))
         heard = self._codec.read_feed(*answer)
         if isinstance(heard, result.Err):
             return heard
@@ -204,11 +204,11 @@
         request = self._codec.write_list_ask(runner)
         answer = await calls.call(request, _SLACK_S)
         if answer is None:
-            return result.Err(Silent(detail="no answer"))
+            return result.Err(NoAnswer(detail="no answer"))
         return self._codec.read_list(*answer)
 
 
-class Silent(failures.Failure, frozen=True, kw_only=True):
+class NoAnswer(failures.Failure, frozen=True, kw_only=True):
     """A runner didn't answer a call."""
 
 
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -145,7 +145,7 @@
                 self._give_up(_Reason.OVERLOADED, wait_s)
             case outcomes.Limited():
                 admitted = self._admitted
-                wait_s = self._tools.permits.find_return(
+                wait_s = self._tools.permits.estimate_retry_after(
                     admitted.demand.service, admitted.tier, found
                 )
                 wait_s = min(wait_s, _LONGEST_LIMITED_S)
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -22,7 +22,7 @@
 DutyMessage = messages.Tally | messages.HolderWord
 
 
-class Here:
+class LocalInstance:
     """This instance, as the exchange sees it."""
 
     def __init__(
@@ -113,7 +113,7 @@
 
     def __init__(
         self,
-        here: Here,
+        here: LocalInstance,
         told: settings.GatewaySettings,
         me: messages.Address,
     ) -> None:
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -21,7 +21,7 @@
 _WINDOW_S = 2.0
 
 
-class Others(Protocol):
+class Peers(Protocol):
     """The other instances, as far as permits need them."""
 
     @property
@@ -41,7 +41,7 @@
         """Sends one instance a message."""
 
 
-class Alone:
+class NoPeers:
     """No other instances."""
 
     instances = 1
@@ -91,7 +91,7 @@
             data_centre: Where it runs.
         """
         self._loop = loop
-        self._others: Others = Alone(host)
+        self._others: Peers = NoPeers(host)
         self._limiter = limiter.Limiter(host, data_centre, self)
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._joined = False
@@ -100,7 +100,7 @@
         ] = {}
         self.counts = Counts()
 
-    def join(self, others: Others) -> None:
+    def join(self, others: Peers) -> None:
         """Takes the other instances."""
         self._others = others
         self._joined = True
@@ -153,7 +153,7 @@
         now = self._loop.time()
         self._limiter.on_answer(grant.standing.mark, read, asked_at, now)
 
-    def find_return(
+    def estimate_retry_after(
         self,
         service: ids.ServiceName,
         tier: ids.Tier,
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -31,7 +31,7 @@
 
     def read_feed(self, status, body):
         if status != 200:
-            return result.Err(cache_feed.Silent(detail="status"))
+            return result.Err(cache_feed.NoAnswer(detail="status"))
         words = body.split()
         changes = tuple(
             fleet_messages.CacheChange(word[1:], word[:1] == b"+")
--- a/pollenfork/platform/tests/simulation/site.py
+++ b/pollenfork/platform/tests/simulation/site.py
@@ -152,7 +152,7 @@
             lambda runner, at: chooser.find_standing(runner).lives_since(at),
             loop.time,
         )
-        here = peers.Here(
+        here = peers.LocalInstance(
             chooser, self.known, found, self.suspected, self.data_centre
         )
         _, joined = await loop.create_datagram_endpoint(
