--- a/pollenfork/gateway/tests/test_following.py
+++ b/pollenfork/gateway/tests/test_following.py
@@ -82,7 +82,7 @@
     def tell(self, version: int, *rows: Row) -> None:
         self.told.take(Table.RUNNERS, messages.Changes(rows, version))
 
-    def guide(
+    def set_source(
         self, news: bool = False, relay: bool = True, at_once: bool = False
     ) -> None:
         to = self.relay if relay else None
