--- a/benchmarks/poison_cost.py
+++ b/benchmarks/poison_cost.py
@@ -13,7 +13,7 @@
 
 from pollenfork import ids
 from pollenfork.fleet import registry
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 from pollenfork.poison.tests import fleet as fleets
 
@@ -32,7 +32,7 @@
     fleet = fleets.Fleet(instances, runners)
     idle_b, idle_s = _run(fleet, instances)
     for each in fleet.instances:
-        _fill(each.suspected, fleet.now)
+        _fill(each.quarantine, fleet.now)
     known_b, known_s = _run(fleet, instances)
     fleet.poison.add(_POISON)
     fleet.ask_all(_POISON, over_s=1.0)
@@ -62,12 +62,12 @@
     for number in range(_REQUESTS):
         digest = ids.RequestDigest((1 << 60) + number)
         ends = [
-            cases.End(
+            crashes.Crash(
                 place, now - 8.1 + 2.0 * place, now - 8.0 + 2.0 * place, 1
             )
             for place in range(3)
         ]
-        suspected.book.restore(cases.Case(digest, ends), now)
+        suspected.tracker.restore(crashes.CrashHistory(digest, ends), now)
 
 
 def _weigh() -> int:
--- a/pollenfork/duties/tests/test_bounds.py
+++ b/pollenfork/duties/tests/test_bounds.py
@@ -9,7 +9,7 @@
 from pollenfork.gateway import officer
 from pollenfork.gateway import platform_calls
 from pollenfork.gateway import settings
-from pollenfork.poison.tests import pages
+from pollenfork.poison.tests import doc_tables
 
 PAGE = pathlib.Path(__file__).parents[3] / "docs" / "design" / "duties.md"
 BOUNDS = settings.DutySettings(platform=settings.Address("10.0.0.1", 1))
@@ -47,5 +47,5 @@
 
 def test_the_page_states_the_sums() -> None:
     for name, total in SUMS.items():
-        row = pages.find_row(PAGE, name)
+        row = doc_tables.find_row(PAGE, name)
         assert row[2] == f"{total:.1f} s", (name, total)
--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -86,7 +86,7 @@
         version=found.configuration.version,
         age_s=age_s,
         until=call.arrived + limit_s,
-        digest=digests.make(
+        digest=digests.compute(
             account.id if account else None, call.method, call.target, call.body
         ),
     )
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -114,7 +114,7 @@
             lambda runner, at: chooser.find_standing(runner).lives_since(at),
             self._loop.time,
         )
-        found.when_ended(suspected.note_absent)
+        found.when_ended(suspected.record_absence)
         self._officer: officer.Officer | None = None
         if told.duties is not None:
             self._officer = officer.Officer(
@@ -153,7 +153,7 @@
             counters=self.counters,
             read_loads_age=self._read_loads_age,
         )
-        suspected.when_doubted(self._tools.endings.try_runner)
+        suspected.when_probe_needed(self._tools.endings.try_runner)
         connections.follow(self.known.runners)
         self.known.runners.when_gone(self._tools.limit_events.forget)
         self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
--- a/pollenfork/gateway/endings.py
+++ b/pollenfork/gateway/endings.py
@@ -116,7 +116,7 @@
             else:
                 # Later than all that broke there meanwhile.
                 ended_by = asyncio.get_running_loop().time()
-                self._suspected.note_dropped(runner, ended_by)
+                self._suspected.record_dropped_connection(runner, ended_by)
         finally:
             del self._tries[evidence.mark(runner)]
             for known in (begun.met, begun.concluded):
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -23,7 +23,7 @@
 from pollenfork.gateway import replies
 from pollenfork.gateway import selection
 from pollenfork.gateway import suspicion
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.ratelimits import figures
 from pollenfork.routes import model as routes
 
@@ -102,16 +102,17 @@
                 return
             verdict = await self._suspicion.judge(bool(self._course.searched))
             if (
-                verdict is cases.Verdict.KEPT_BACK
+                verdict is crashes.Verdict.QUARANTINED
                 and not await self._suspicion.may_try()
             ):
                 self._give_up(_Reason.ENDS_RUNNERS, _KEPT_BACK_S)
                 return
-            if verdict is cases.Verdict.DOUBTED:
+            if verdict is crashes.Verdict.UNCONFIRMED:
                 self._give_up(_Reason.ENDS_RUNNERS, _DOUBTED_S)
                 return
             grant = await self._selection.find(
-                verdict is not cases.Verdict.CLEAR, bool(self._course.searched)
+                verdict is not crashes.Verdict.CLEAR,
+                bool(self._course.searched),
             )
             if not isinstance(grant, outcomes.Grant):
                 self._refuse(grant)
--- a/pollenfork/gateway/keeping.py
+++ b/pollenfork/gateway/keeping.py
@@ -15,7 +15,7 @@
 from pollenfork.gateway import client
 from pollenfork.gateway import edges
 from pollenfork.gateway import settings
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 from pollenfork.poison import records
 
@@ -77,8 +77,8 @@
         self._read_wall = read_wall
         self._waiting: asyncio.Queue[_Write] = asyncio.Queue(_WAITING_LIMIT)
         self._stored: set[ids.RequestDigest] = set()
-        suspected.book.when_kept(self._note_kept)
-        suspected.book.when_cleared(self._note_cleared)
+        suspected.tracker.when_quarantined(self._note_kept)
+        suspected.tracker.when_cleared(self._note_cleared)
 
     async def run(self) -> None:
         """Reads what is stored, then writes until cancelled."""
@@ -95,7 +95,7 @@
         number = self._suspected.take_trial(digest, self._loop.time())
         if number is None:
             return False
-        key = records.write_trial_key(digest, number)
+        key = records.format_trial_key(digest, number)
         async with self._claiming:
             claim = changes.Put(changes.Table.TRIALS, key, b"", changes.ABSENT)
             call = self._store.write_change(changes.Change((claim,)))
@@ -108,7 +108,9 @@
             status or "-",
         )
         if status in (429, 503):
-            self._suspected.trials.note_refused(digest, self._loop.time())
+            self._suspected.trials.record_refused_claim(
+                digest, self._loop.time()
+            )
         if status == _OK:
             self._stored.add(digest)
         return status == _OK
@@ -116,7 +118,7 @@
     async def _read(self) -> bool:
         """Returns whether all rows have been read."""
         start = ""
-        found: list[cases.Case] = []
+        found: list[crashes.CrashHistory] = []
         while True:
             ask = self._store.write_range_ask(_TABLE, start)
             answer = await self._client.call(ask, _CALL_S)
@@ -132,9 +134,9 @@
                 return True
             start = rows.rows[-1].key + "\0"
 
-    def _decode(self, row: catalogue.Row) -> cases.Case | None:
+    def _decode(self, row: catalogue.Row) -> crashes.CrashHistory | None:
         now = self._loop.time()
-        read = records.read(row.key, row.value, now, self._read_wall())
+        read = records.decode(row.key, row.value, now, self._read_wall())
         if isinstance(read, result.Ok):
             return read.ok_value
         _LOG.warning(
@@ -144,19 +146,19 @@
         )
         return None
 
-    def _restore(self, found: list[cases.Case]) -> None:
+    def _restore(self, found: list[crashes.CrashHistory]) -> None:
         _LOG.info("event=kept_requests_read count=%d", len(found))
-        found.sort(key=lambda case: case.ends[-1].ended_at, reverse=True)
+        found.sort(key=lambda case: case.crashes[-1].crashed_at, reverse=True)
         now = self._loop.time()
         for case in reversed(found[:_ROWS_LIMIT]):
             self._stored.add(case.digest)
-            self._suspected.book.restore(case, now)
+            self._suspected.tracker.restore(case, now)
         for case in found[_ROWS_LIMIT : _ROWS_LIMIT + _WAITING_LIMIT]:
             self._put(_Write(case.digest, None))
 
     async def _write(self, write: _Write) -> bool:
         """Returns whether the store took a row, or will never take it."""
-        key = records.write_key(write.digest)
+        key = records.format_key(write.digest)
         call = self._store.write_change(_make_change(write))
         answer = await self._client.call(call, _CALL_S)
         if answer is None or answer[0] in (429, 503):
@@ -165,15 +167,15 @@
             _LOG.error("event=store_refused key=%s status=%d", key, answer[0])
         return True
 
-    def _note_kept(self, case: cases.Case, now: float) -> None:
-        if case.digest in self._stored or not self._suspected.saw(case):
+    def _note_kept(self, case: crashes.CrashHistory, now: float) -> None:
+        if case.digest in self._stored or not self._suspected.saw_crash(case):
             return
         self._stored.add(case.digest)
-        value = records.write(case, now, self._read_wall())
+        value = records.encode(case, now, self._read_wall())
         self._put(_Write(case.digest, value))
 
-    def _note_cleared(self, case: cases.Case, now: float) -> None:
-        if case.kept_since is None and case.digest in self._stored:
+    def _note_cleared(self, case: crashes.CrashHistory, now: float) -> None:
+        if case.quarantined_at is None and case.digest in self._stored:
             self._stored.discard(case.digest)
             self._put(_Write(case.digest, None))
 
@@ -185,7 +187,7 @@
 
 def _make_change(write: _Write) -> changes.Change:
     """Returns what writes a row, or removes it and its trials' claims."""
-    key = records.write_key(write.digest)
+    key = records.format_key(write.digest)
     if write.value is not None:
         return changes.Change((changes.Put(_TABLE, key, write.value),))
     trials = records.list_trial_keys(write.digest)
--- a/pollenfork/gateway/kept_page.py
+++ b/pollenfork/gateway/kept_page.py
@@ -8,7 +8,7 @@
 from pollenfork.gateway import callers
 from pollenfork.gateway import messages
 from pollenfork.gateway import replies
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 
 _PATH = b"/kept-requests"
@@ -76,18 +76,20 @@
 
     def _write(self) -> bytes:
         now = self._read_time()
-        kept = [_describe(case, now) for case in self._suspected.list_kept()]
+        kept = [
+            _describe(case, now) for case in self._suspected.list_quarantined()
+        ]
         return msgspec.json.encode(kept)
 
 
-def _describe(case: cases.Case, now: float) -> _Kept:
-    since = now if case.kept_since is None else case.kept_since
+def _describe(case: crashes.CrashHistory, now: float) -> _Kept:
+    since = now if case.quarantined_at is None else case.quarantined_at
     ends = [
         _End(
-            place=f"{each.place:08x}",
-            ran_ms=int((each.ended_at - each.sent_at) * 1000),
-            ago_ms=int((now - each.ended_at) * 1000),
+            place=f"{each.runner_hash:08x}",
+            ran_ms=int((each.crashed_at - each.sent_at) * 1000),
+            ago_ms=int((now - each.crashed_at) * 1000),
         )
-        for each in case.ends
+        for each in case.crashes
     ]
     return _Kept(f"{case.digest:016x}", int((now - since) * 1000), ends)
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -87,7 +87,7 @@
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
         """Returns news of requests that runners ended under, if any."""
-        return self._suspected.take_news(now)
+        return self._suspected.take_updates(now)
 
     def take_suspicions_page(self, now: float) -> messages.Suspicions | None:
         """Returns the next part of all that it knows of them, if anything."""
@@ -101,11 +101,11 @@
         self, told: messages.Suspicions, host: str, now: float
     ) -> None:
         """Takes what another one knows of them."""
-        self._suspected.note_told(told, host, now)
+        self._suspected.receive_suspicions(told, host, now)
 
     def note_instances(self, count: int) -> None:
         """Takes how many instances are known, this one included."""
-        self._suspected.note_others(count - 1)
+        self._suspected.set_peer_count(count - 1)
 
 
 class Peers(asyncio.DatagramProtocol):
--- a/pollenfork/gateway/scrape.py
+++ b/pollenfork/gateway/scrape.py
@@ -49,7 +49,7 @@
         shown.set_count(
             "pollenfork_findings_taken_total", count, sign=sign.name.lower()
         )
-    counts = tools.suspected.book.counts
+    counts = tools.suspected.tracker.counts
     shown.set_count("pollenfork_runner_ends_total", counts["ends"])
     shown.set_count("pollenfork_requests_kept_back_total", counts["kept_back"])
     shown.set_count("pollenfork_runners_kept_total", known.runners.kept)
--- a/pollenfork/gateway/suspicion.py
+++ b/pollenfork/gateway/suspicion.py
@@ -8,7 +8,7 @@
 from pollenfork.fleet import model as fleet
 from pollenfork.gateway import attempt
 from pollenfork.gateway import context
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 
 _LOG = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
         self._tools = tools
         self._digest = digest
 
-    async def judge(self, repeats: bool) -> cases.Verdict:
+    async def judge(self, repeats: bool) -> crashes.Verdict:
         """Returns what may be done with the request now.
 
         Where one more send may end a runner too many, it waits until it is
@@ -48,17 +48,19 @@
         """
         tools = self._tools
         begun_at = tools.loop.time()
-        possible = tools.suspected.list_possible_ends(self._digest, begun_at)
-        if len(possible) >= (_REPEATED_ENDS if repeats else cases.ENDS_ALLOWED):
+        possible = tools.suspected.list_possible_crashes(self._digest, begun_at)
+        if len(possible) >= (
+            _REPEATED_ENDS if repeats else crashes.CRASH_LIMIT
+        ):
             await tools.endings.wait_concluded(possible)
         now = tools.loop.time()
-        verdict = tools.suspected.judge(self._digest, now)
+        verdict = tools.suspected.evaluate(self._digest, now)
         if possible:
             self._log_verdict(verdict, len(possible), now - begun_at)
         return verdict
 
     def _log_verdict(
-        self, verdict: cases.Verdict, possible: int, waited_s: float
+        self, verdict: crashes.Verdict, possible: int, waited_s: float
     ) -> None:
         """Tells what a send of a request that may end runners was decided by.
 
@@ -67,8 +69,8 @@
             possible: Runners that it may have ended.
             waited_s: Seconds for which proof was waited for.
         """
-        case = self._tools.suspected.book.find(self._digest)
-        ends = case.ends if case is not None else []
+        case = self._tools.suspected.tracker.find(self._digest)
+        ends = case.crashes if case is not None else []
         now = self._tools.loop.time()
         _LOG.info(
             "event=request_judged digest=%016x verdict=%s ends=%d possible=%d "
@@ -77,7 +79,7 @@
             verdict.value,
             len(ends),
             possible,
-            int((now - ends[-1].ended_at) * 1000) if ends else "-",
+            int((now - ends[-1].crashed_at) * 1000) if ends else "-",
             waited_s * 1000,
         )
 
@@ -105,11 +107,11 @@
         tools = self._tools
         now = tools.loop.time()
         if ended.end is fleet_messages.End.WHOLE:
-            tools.suspected.note_answered(self._digest, now)
+            tools.suspected.record_answer(self._digest, now)
         if not ended.is_cut:
             return
         if not (flows and now - sent_at > _RAN_WELL_S):
-            tools.suspected.note_broken(
+            tools.suspected.record_broken_connection(
                 self._digest, runner, sent_at, now, made_at
             )
         tools.endings.try_runner(runner)
--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -202,7 +202,7 @@
             lambda runner, at: chooser.find_standing(runner).lives_since(at),
             loop.time,
         )
-        found.when_ended(suspected.note_absent)
+        found.when_ended(suspected.record_absence)
         self.tools = context.Tools(
             loop=loop,
             rng=rng,
@@ -262,7 +262,7 @@
             version=1,
             age_s=0.0,
             until=call.arrived + self.route.time_limit_s,
-            digest=digests.make(None, call.method, call.target, call.body),
+            digest=digests.compute(None, call.method, call.target, call.body),
         )
         await exchange.Exchange(self.tools, admitted, caller).run()
 
--- a/pollenfork/gateway/tests/test_keeping.py
+++ b/pollenfork/gateway/tests/test_keeping.py
@@ -10,7 +10,7 @@
 from pollenfork.fleet import registry
 from pollenfork.gateway import keeping
 from pollenfork.gateway import settings
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 from pollenfork.poison import records
 
@@ -47,11 +47,11 @@
 def make_row(number: int, now: float) -> catalogue.Row:
     """A request whose last end was that many seconds ago."""
     ended_at = now - 5.0 - number
-    case = cases.Case(
-        ids.RequestDigest(number), [cases.End(1, ended_at - 1, ended_at, 1)]
+    case = crashes.CrashHistory(
+        ids.RequestDigest(number), [crashes.Crash(1, ended_at - 1, ended_at, 1)]
     )
-    value = records.write(case, now, 1_700_000_000.0)
-    return catalogue.Row(records.write_key(case.digest), value, 1)
+    value = records.encode(case, now, 1_700_000_000.0)
+    return catalogue.Row(records.format_key(case.digest), value, 1)
 
 
 def play(count: int, extra: list[catalogue.Row]):
@@ -79,7 +79,9 @@
         for _ in range(2 * count):
             await asyncio.sleep(0)
         task.cancel()
-        return [case.digest for case in suspected.list_kept()], store.removed
+        return [
+            case.digest for case in suspected.list_quarantined()
+        ], store.removed
 
     return asyncio.run(run())
 
@@ -125,13 +127,15 @@
 
         keeper._claims.call = call
         now = loop.time()
-        end = cases.End(1, now - 40.0, now - 39.0, 1)
-        stored = cases.Case(ids.RequestDigest(7), [end], answered=True)
-        suspected.book.restore(stored, now)
+        end = crashes.Crash(1, now - 40.0, now - 39.0, 1)
+        stored = crashes.CrashHistory(
+            ids.RequestDigest(7), [end], answered=True
+        )
+        suspected.tracker.restore(stored, now)
         granted = []
         for _ in statuses:
             granted.append(await keeper.claim_trial(stored.digest))
-            suspected.trials._asked[stored.digest].not_before = 0.0
+            suspected.trials._claims[stored.digest].not_before = 0.0
         return granted, store.claimed
 
     return asyncio.run(run())
--- a/pollenfork/gateway/tests/test_kept_page.py
+++ b/pollenfork/gateway/tests/test_kept_page.py
@@ -6,7 +6,7 @@
 from pollenfork.fleet import registry
 from pollenfork.gateway import kept_page
 from pollenfork.gateway import messages
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 
 DIGEST = ids.RequestDigest(0xABC)
@@ -44,8 +44,8 @@
     )
     for place in range(3):
         at = 10.0 + place
-        end = cases.End(place, at, at + 0.5, 1)
-        suspected.book.note_end(DIGEST, end, 15.0)
+        end = crashes.Crash(place, at, at + 0.5, 1)
+        suspected.tracker.record_crash(DIGEST, end, 15.0)
     return kept_page.KeptPage(suspected, lambda: 20.0)
 
 
--- a/pollenfork/poison/__init__.py
+++ b/pollenfork/poison/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the runners that run them."""
+"""Quarantine of requests that crash the runners they run on."""
--- a/pollenfork/poison/digests.py
+++ b/pollenfork/poison/digests.py
@@ -1,4 +1,4 @@
-"""What tells the same request from others when it comes again."""
+"""Digests that identify repetitions of the same request."""
 
 import hashlib
 
@@ -7,23 +7,23 @@
 _BYTES = 8
 
 
-def make(
+def compute(
     account: ids.AccountId | None, method: bytes, target: bytes, body: bytes
 ) -> ids.RequestDigest:
-    """Returns a request's digest: the same for each attempt, anywhere.
+    """Returns the digest of a request, equal for every attempt and instance.
 
-    Other headers are left out, as a caller may change them with each attempt.
-    Nobody may find a text that passes for another account's, so this isn't one
-    of the faster hashes: it takes some 20 us for a body of 20 KB.
+    Other headers are left out, as a client may change them between attempts.
+    The hash is cryptographic, so that nobody can craft a request that collides
+    with another account's; it takes about 20 us for a body of 20 KB.
 
     Args:
-        account: Whose request it is; None where its route asks for no key.
+        account: The account that sent it; None where the route needs no key.
         method: The HTTP method.
         target: The path with its query.
         body: The body.
     """
     head = b"%b %b %b " % ((account or "").encode(), method, target)
-    # A length before the body: no head may pass for the start of a body.
+    # The length prefix keeps the end of the head distinct from the body.
     head = b"%d %b" % (len(head), head)
     made = hashlib.blake2b(head + body, digest_size=_BYTES)
     return ids.RequestDigest(int.from_bytes(made.digest()))
--- a/pollenfork/poison/outbox.py
+++ b/pollenfork/poison/outbox.py
@@ -1,4 +1,4 @@
-"""What other instances are told of requests and of ends under them."""
+"""Queues crashes and clearances of requests to be sent to other instances."""
 
 import collections
 from collections.abc import Iterator
@@ -7,175 +7,200 @@
 
 from pollenfork import ids
 from pollenfork.loads import messages
-from pollenfork.poison import book
-from pollenfork.poison import cases
-
-# How often a piece of news is passed on, each time to three instances.
-_ROUNDS = 3
-# Pieces that may be told at once, and more in a second: an end takes some 27
-# bytes, so this is 13 KB/s with three listeners. A runner's end speaks against
-# as many requests as it has slots, 64 at most.
+from pollenfork.poison import crashes
+from pollenfork.poison import tracker
+
+# How often an update is sent, each time to three instances.
+_TRANSMISSIONS = 3
+# The largest burst of updates, and how many more may be sent per second. A
+# crash takes about 27 bytes, so this is 13 KB/s with three receivers. The crash
+# of one runner counts against up to 64 requests, as many as it has slots.
 _BURST = 64.0
 _RATE = 160.0
-# Pieces that wait; when many runners end at once the oldest go, but for those
-# of requests with several ends.
-_WAITING_LIMIT = 1024
-# Pieces in one datagram, for about 1,200 bytes.
-_EACH = 40
-# Datagrams in which an instance that asks is told all, at most; the latest
-# cases go first. 400 ends of 130 requests.
-_PAGES = 10
+# Updates that may be queued. When many runners crash at once the oldest are
+# discarded, except for those of requests with several crashes.
+_QUEUE_LIMIT = 1024
+# Updates per datagram, for about 1,200 bytes.
+_UPDATES_PER_DATAGRAM = 40
+# The most datagrams sent to an instance that asks for everything; the latest
+# requests come first. They hold 400 crashes of 130 requests.
+_MAX_PAGES = 10
 
-_Piece = messages.RunnerEnd | messages.Clearance
+_Update = messages.RunnerEnd | messages.Clearance
 
 
-class _Waiting(msgspec.Struct):
-    """A piece of news, and how often it is still to be told."""
+class _QueuedUpdate(msgspec.Struct):
+    """An update, and how often it is still to be sent.
+
+    Attributes:
+        digest: The digest of the request.
+        crash: The crash to report; None for a clearance.
+        moment: When the runner crashed, or up to when the request is cleared.
+        lifted: Whether an operator released the request.
+        transmissions_left: How often it is still to be sent.
+    """
 
     digest: ids.RequestDigest
-    end: cases.End | None
+    crash: crashes.Crash | None
     moment: float
     lifted: bool = False
-    rounds_left: int = _ROUNDS
+    transmissions_left: int = _TRANSMISSIONS
 
-    def write(self, now: float) -> _Piece:
-        if self.end is None:
+    def to_message(self, now: float) -> _Update:
+        if self.crash is None:
             age_ms = _to_ms(now - self.moment)
             return messages.Clearance(self.digest, age_ms, self.lifted)
-        return _write_end(self.digest, self.end, now)
+        return _to_runner_end(self.digest, self.crash, now)
 
 
 class Outbox:
-    """Keeps news until it is told, within a rate."""
+    """A rate-limited queue of updates for other instances."""
 
-    def __init__(self, known: book.Book) -> None:
-        """Starts with nothing to tell.
+    def __init__(self, known: tracker.RequestTracker) -> None:
+        """Creates an empty queue.
 
         Args:
-            known: What is known of requests.
+            known: The crash histories of requests.
         """
         self._known = known
-        self._urgent: collections.deque[_Waiting] = collections.deque(
-            maxlen=_WAITING_LIMIT
+        self._urgent: collections.deque[_QueuedUpdate] = collections.deque(
+            maxlen=_QUEUE_LIMIT
         )
-        self._ordinary: collections.deque[_Waiting] = collections.deque(
-            maxlen=_WAITING_LIMIT
+        self._ordinary: collections.deque[_QueuedUpdate] = collections.deque(
+            maxlen=_QUEUE_LIMIT
         )
-        self._cleared: dict[ids.RequestDigest, _Waiting] = {}
+        self._cleared: dict[ids.RequestDigest, _QueuedUpdate] = {}
         self._allowed = _BURST
         self._filled_at = 0.0
         self._page_from = 0
 
-    def add_end(self, digest: ids.RequestDigest, end: cases.End) -> None:
-        """Takes an end that is news here."""
-        case = self._known.find(digest)
-        serious = case is not None and case.is_serious
-        waiting = self._urgent if serious else self._ordinary
-        waiting.append(_Waiting(digest, end, end.ended_at))
+    def add_crash(
+        self, digest: ids.RequestDigest, crash: crashes.Crash
+    ) -> None:
+        """Queues a crash that this instance just learned of."""
+        history = self._known.find(digest)
+        high_risk = history is not None and history.is_high_risk
+        queue = self._urgent if high_risk else self._ordinary
+        queue.append(_QueuedUpdate(digest, crash, crash.crashed_at))
 
     def add_cleared(
         self, digest: ids.RequestDigest, at: float, lifted: bool
     ) -> None:
-        """Takes up to when nothing speaks against a request.
+        """Queues the clearance of a request.
 
         Args:
-            digest: The request's.
-            at: Monotonic seconds.
-            lifted: Whether it is an operator's word alone.
+            digest: The digest of the request.
+            at: Monotonic seconds up to which its crashes no longer count.
+            lifted: Whether only an operator released it.
         """
-        known = self._cleared.get(digest)
-        if known is not None and known.rounds_left:
-            known.moment = max(known.moment, at)
-            known.lifted = known.lifted and lifted
+        queued = self._cleared.get(digest)
+        if queued is not None and queued.transmissions_left:
+            queued.moment = max(queued.moment, at)
+            queued.lifted = queued.lifted and lifted
             return
-        if len(self._cleared) >= _WAITING_LIMIT:
-            self._cleared.clear()  # Told again when it is asked for again.
-        self._cleared[digest] = _Waiting(digest, None, at, lifted)
+        if len(self._cleared) >= _QUEUE_LIMIT:
+            self._cleared.clear()  # Only repeats some clearances.
+        self._cleared[digest] = _QueuedUpdate(digest, None, at, lifted)
         self._urgent.append(self._cleared[digest])
 
     def take(self, now: float) -> messages.Suspicions | None:
-        """Returns what to tell now, within the rate; None: nothing."""
+        """Returns the updates that the rate allows now, if there are any."""
         earned = (now - self._filled_at) * _RATE
         self._allowed = min(_BURST, self._allowed + earned)
         self._filled_at = now
-        count = min(_EACH, int(self._allowed))
-        chosen = [*self._choose(self._urgent, count)]
-        chosen += self._choose(self._ordinary, count - len(chosen))
-        self._allowed -= len(chosen)
-        return _pack([each.write(now) for each in chosen]) if chosen else None
+        count = min(_UPDATES_PER_DATAGRAM, int(self._allowed))
+        taken = [*self._take_newest(self._urgent, count)]
+        taken += self._take_newest(self._ordinary, count - len(taken))
+        self._allowed -= len(taken)
+        return (
+            _pack([each.to_message(now) for each in taken]) if taken else None
+        )
 
     def list_all(self, now: float) -> list[messages.Suspicions]:
-        """Returns what speaks against requests; one is empty if nothing."""
-        serious = self._known.list_serious()[::-1]
+        """Returns all high-risk requests by datagram; an empty one if none."""
+        high_risk = self._known.list_high_risk()[::-1]
         pages: list[messages.Suspicions] = []
-        while serious and len(pages) < _PAGES:
-            page = _cut_page(serious)
-            pages.append(_write_page(page, now))
-            serious = serious[len(page) :]
+        while high_risk and len(pages) < _MAX_PAGES:
+            page = _cut_page(high_risk)
+            pages.append(_pack_page(page, now))
+            high_risk = high_risk[len(page) :]
         return pages or [messages.Suspicions("")]
 
     def take_page(self, now: float) -> messages.Suspicions | None:
-        """Returns the next few of what speaks against requests, by turns."""
-        serious = self._known.list_serious()
-        if not serious:
+        """Returns the next page of the high-risk requests, in rotation."""
+        high_risk = self._known.list_high_risk()
+        if not high_risk:
             return None
-        first = self._page_from % len(serious)
-        page = _cut_page(serious[first:] + serious[:first])
+        first = self._page_from % len(high_risk)
+        page = _cut_page(high_risk[first:] + high_risk[:first])
         self._page_from = first + len(page)
-        return _write_page(page, now)
+        return _pack_page(page, now)
 
-    def _choose(
-        self, waiting: collections.deque[_Waiting], count: int
-    ) -> Iterator[_Waiting]:
-        """Yields the latest that wait; the others follow."""
+    def _take_newest(
+        self, queue: collections.deque[_QueuedUpdate], count: int
+    ) -> Iterator[_QueuedUpdate]:
+        """Yields the newest updates of a queue.
+
+        Those that are to be sent again go to its old end.
+        """
         again = []
-        for _ in range(min(count, len(waiting))):
-            each = waiting.pop()
-            each.rounds_left -= 1
-            if each.rounds_left:
+        for _ in range(min(count, len(queue))):
+            each = queue.pop()
+            each.transmissions_left -= 1
+            if each.transmissions_left:
                 again.append(each)
             yield each
-        waiting.extendleft(again)
+        queue.extendleft(again)
 
 
-def _pack(pieces: list[_Piece]) -> messages.Suspicions:
-    ends = [each for each in pieces if isinstance(each, messages.RunnerEnd)]
-    cleared = [each for each in pieces if isinstance(each, messages.Clearance)]
+def _pack(updates: list[_Update]) -> messages.Suspicions:
+    ends = [each for each in updates if isinstance(each, messages.RunnerEnd)]
+    cleared = [each for each in updates if isinstance(each, messages.Clearance)]
     return messages.Suspicions("", tuple(ends), tuple(cleared))
 
 
-def _cut_page(known: list[cases.Case]) -> list[cases.Case]:
-    """Returns the first cases whose ends go into one datagram."""
+def _cut_page(
+    histories: list[crashes.CrashHistory],
+) -> list[crashes.CrashHistory]:
+    """Returns the first requests whose crashes fit into one datagram."""
     count = 0
-    for number, case in enumerate(known):
-        count += len(case.ends)
-        if count > _EACH:
-            return known[:number]
-    return known
+    for number, history in enumerate(histories):
+        count += len(history.crashes)
+        if count > _UPDATES_PER_DATAGRAM:
+            return histories[:number]
+    return histories
 
 
-def _write_page(page: list[cases.Case], now: float) -> messages.Suspicions:
+def _pack_page(
+    page: list[crashes.CrashHistory], now: float
+) -> messages.Suspicions:
     return messages.Suspicions(
         "",
         tuple(
-            _write_end(case.digest, end, now)
-            for case in page
-            for end in case.ends
+            _to_runner_end(history.digest, crash, now)
+            for history in page
+            for crash in history.crashes
+        ),
+        kept=tuple(
+            history.digest
+            for history in page
+            if history.quarantined_at is not None
         ),
-        kept=tuple(case.digest for case in page if case.kept_since is not None),
     )
 
 
-def _write_end(
-    digest: ids.RequestDigest, end: cases.End, now: float
+def _to_runner_end(
+    digest: ids.RequestDigest, crash: crashes.Crash, now: float
 ) -> messages.RunnerEnd:
     return messages.RunnerEnd(
         digest,
-        end.place,
-        _to_ms(now - end.sent_at),
-        _to_ms(now - end.ended_at),
-        end.witness,
-        None if end.made_at is None else _to_ms(now - end.made_at),
+        crash.runner_hash,
+        _to_ms(now - crash.sent_at),
+        _to_ms(now - crash.crashed_at),
+        crash.sender,
+        None
+        if crash.connected_at is None
+        else _to_ms(now - crash.connected_at),
     )
 
 
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -1,8 +1,9 @@
-"""Keeps back requests that end the runners that run them, at all instances.
+"""Quarantines requests that crash the runners they run on, at all instances.
 
-One such request ended 48 runners in 10 s, before three instances and four
-runners, and a fifth of all others was served. Three ends are needed to tell it
-from what runs beside it; each instance learns of all ends from the others.
+Without it, one such request crashed 48 runners in 10 s, with three instances
+and four runners, and a fifth of all other requests was served. Three crashes
+are needed to tell the cause from requests in flight beside it; instances
+exchange the crashes that they observe.
 """
 
 from collections.abc import Callable
@@ -13,234 +14,243 @@
 from pollenfork.fleet import model
 from pollenfork.fleet import registry
 from pollenfork.loads import messages
-from pollenfork.poison import book
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
+from pollenfork.poison import detector
 from pollenfork.poison import outbox
+from pollenfork.poison import tracker
 from pollenfork.poison import trials
-from pollenfork.poison import witness
 
 _LOG = logging.getLogger(__name__)
 
-Verdict = cases.Verdict
+Verdict = crashes.Verdict
 
 
 class Quarantine:
-    """What one instance knows of such requests, and tells of them."""
+    """What one instance knows of poison requests, and tells other instances.
+
+    Attributes:
+        tracker: The crash histories of requests.
+        trials: This instance's claims of trials.
+    """
 
     def __init__(
         self,
         runners: registry.Registry,
         host: str,
-        lives_since: Callable[[ids.EndpointId, float], bool],
+        is_alive_since: Callable[[ids.EndpointId, float], bool],
         read_time: Callable[[], float],
     ) -> None:
-        """Starts with nothing known.
+        """Creates a quarantine without any history.
 
         Args:
             runners: The runners of all services.
-            host: This instance's.
-            lives_since: Returns whether a runner has shown here since a moment
-                that it runs.
+            host: The host of this instance.
+            is_alive_since: Returns whether a runner has shown this instance
+                since a given time that it is alive.
             read_time: Returns monotonic seconds.
         """
         self._read_time = read_time
-        self._others = 0
-        self._mark = messages.hash_name(host.encode())
-        self._witness = witness.Witness(
+        self._peer_count = 0
+        self._host_hash = messages.hash_name(host.encode())
+        self._detector = detector.CrashDetector(
             runners,
-            self._mark,
-            lives_since,
-            self._note_end,
-            lambda: self._others,
+            self._host_hash,
+            is_alive_since,
+            self._record_crash,
+            lambda: self._peer_count,
         )
-        self.book = book.Book(self._witness.believes)
+        self.tracker = tracker.RequestTracker(self._detector.is_credible)
         self.trials = trials.Trials()
-        self._outbox = outbox.Outbox(self.book)
+        self._outbox = outbox.Outbox(self.tracker)
         self._on_urgent: list[Callable[[], None]] = []
-        self.book.when_cleared(
-            lambda case, now: self._outbox.add_cleared(
-                case.digest, case.cleared_at or now, not case.answered
+        self.tracker.when_cleared(
+            lambda history, now: self._outbox.add_cleared(
+                history.digest, history.cleared_at or now, not history.answered
             )
         )
         runners.when_gone(
-            lambda gone: self._witness.note_gone(gone, read_time())
+            lambda gone: self._detector.record_removed(gone, read_time())
         )
 
     def when_urgent(self, call: Callable[[], None]) -> None:
-        """Calls `call` when others should be told something at once."""
+        """Calls `call` when updates should be sent to others at once."""
         self._on_urgent.append(call)
 
-    def when_doubted(self, call: Callable[[model.Runner], object]) -> None:
-        """Calls `call` with a runner to which a connection is to be tried."""
-        self._witness.when_doubted(call)
+    def when_probe_needed(self, call: Callable[[model.Runner], object]) -> None:
+        """Calls `call` with each runner to be tested by a new connection."""
+        self._detector.when_probe_needed(call)
 
-    def judge(self, digest: ids.RequestDigest, now: float) -> Verdict:
-        """Returns what may be done with a request."""
-        verdict = self.book.judge(digest, now)
-        if verdict is Verdict.KEPT_BACK:
+    def evaluate(self, digest: ids.RequestDigest, now: float) -> Verdict:
+        """Returns how a request may be dispatched."""
+        verdict = self.tracker.evaluate(digest, now)
+        if verdict is Verdict.QUARANTINED:
             return verdict
-        possible = self._list_doubted(digest, now)
-        if possible and self.book.would_keep_back(digest, possible, now):
-            return Verdict.DOUBTED
+        possible = self._list_unconfirmed(digest, now)
+        if possible and self.tracker.would_quarantine(digest, possible, now):
+            return Verdict.UNCONFIRMED
         return verdict
 
-    def list_possible_ends(
+    def list_possible_crashes(
         self, digest: ids.RequestDigest, now: float
     ) -> set[int]:
-        """Returns the places of runners that a request may have ended.
+        """Returns the hashes of runners that a request may have crashed.
 
         Args:
-            digest: The request's.
+            digest: The digest of the request.
             now: Monotonic seconds.
         """
-        case = self.book.find(digest)
-        known = [] if case is None else case.ends
-        doubted = self._list_doubted(digest, now)
-        return {each.place for each in [*known, *doubted]}
+        history = self.tracker.find(digest)
+        known = [] if history is None else history.crashes
+        unconfirmed = self._list_unconfirmed(digest, now)
+        return {each.runner_hash for each in [*known, *unconfirmed]}
 
-    def note_answered(self, digest: ids.RequestDigest, now: float) -> None:
-        """Takes that a runner has answered a request."""
-        self.book.note_answered(digest, now)
+    def record_answer(self, digest: ids.RequestDigest, now: float) -> None:
+        """Records that a runner has answered a request."""
+        self.tracker.record_answer(digest, now)
 
-    def note_broken(
+    def record_broken_connection(
         self,
         digest: ids.RequestDigest,
         runner: model.Runner,
         sent_at: float,
         now: float,
-        made_at: float | None = None,
+        connected_at: float | None = None,
     ) -> None:
-        """Takes that the connection broke on which a request was sent."""
-        self._witness.note_broken(digest, runner, sent_at, now, made_at)
+        """Records that the connection broke on which a request was sent."""
+        self._detector.record_broken_connection(
+            digest, runner, sent_at, now, connected_at
+        )
 
-    def note_absent(self, place: int, here: bool) -> None:
-        """Takes that nobody is where a runner was.
+    def record_absence(self, runner_hash: int, here: bool) -> None:
+        """Records that a runner no longer listens at its address.
 
         Args:
-            place: A hash of the runner's start and its address.
-            here: Whether that was found here; otherwise it is another one's
-                word.
+            runner_hash: A hash of the runner's incarnation and its address.
+            here: Whether this instance found that; otherwise another one
+                reported it.
         """
         now = self._read_time()
         if here:
-            self._witness.note_ended(place, now, "nobody_there")
+            self._detector.record_ended(runner_hash, now, "nobody_there")
         else:
-            self._witness.note_told_ended(place, now)
+            self._detector.record_reported_end(runner_hash, now)
 
-    def note_dropped(self, runner: model.Runner, now: float) -> None:
-        """Takes that a new connection to a runner was dropped at once."""
-        self._witness.note_ended(evidence.mark(runner), now, "dropped")
+    def record_dropped_connection(
+        self, runner: model.Runner, now: float
+    ) -> None:
+        """Records that a new connection to a runner was dropped at once."""
+        self._detector.record_ended(evidence.mark(runner), now, "dropped")
 
-    def list_kept(self) -> list[cases.Case]:
-        """Returns the requests that are kept back."""
-        return self.book.list_kept()
+    def list_quarantined(self) -> list[crashes.CrashHistory]:
+        """Returns the requests that are quarantined."""
+        return self.tracker.list_quarantined()
 
-    def saw(self, case: cases.Case) -> bool:
-        """Returns whether this instance saw a runner end under a request."""
-        return any(each.witness == self._mark for each in case.ends)
+    def saw_crash(self, history: crashes.CrashHistory) -> bool:
+        """Returns whether this instance saw a runner crash under a request."""
+        return any(each.sender == self._host_hash for each in history.crashes)
 
     def lift(self, digest: ids.RequestDigest) -> bool:
-        """Lets a request go to runners again, everywhere.
+        """Releases a request at all instances.
 
         Returns:
-            Whether anything was known against it.
+            Whether any crash was recorded under it.
         """
-        case = self.book.find(digest)
-        if case is None or not case.ends:
+        history = self.tracker.find(digest)
+        if history is None or not history.crashes:
             return False
         now = self._read_time()
         _LOG.warning("event=request_lifted digest=%016x", digest)
-        return self.book.clear(digest, now, now, answered=False)
+        return self.tracker.clear(digest, now, now, answered=False)
 
     def take_trial(self, digest: ids.RequestDigest, now: float) -> int | None:
-        """Returns the number of a trial to claim for a request that is kept.
+        """Returns the number of a quarantined request's trial to claim.
 
         Args:
-            digest: The request's.
+            digest: The digest of the request.
             now: Monotonic seconds.
         """
-        case = self.book.find(digest)
-        if case is None:
+        history = self.tracker.find(digest)
+        if history is None:
             return None
         return self.trials.take_due(
-            case, now, lambda: self._count_other_ends(case)
+            history, now, lambda: self._count_unrelated_crashes(history)
         )
 
     def sweep(self, now: float) -> None:
-        """Forgets what is old and judges what has settled."""
-        self._witness.sweep(now)
-        self.book.sweep(now)
-        self.trials.forget({each.digest for each in self.list_kept()})
+        """Forgets old records, and evaluates requests anew."""
+        self._detector.sweep(now)
+        self.tracker.sweep(now)
+        self.trials.retain({each.digest for each in self.list_quarantined()})
 
-    # What instances tell each other.
+    # Exchange with other instances.
 
-    def take_news(self, now: float) -> messages.Suspicions | None:
-        """Returns what to tell at once, if anything."""
+    def take_updates(self, now: float) -> messages.Suspicions | None:
+        """Returns the updates to send now, if any."""
         return self._outbox.take(now)
 
     def take_page(self, now: float) -> messages.Suspicions | None:
-        """Returns the next part of all that is known, if anything is."""
+        """Returns the next page of all high-risk requests, if any."""
         return self._outbox.take_page(now)
 
     def list_all(self, now: float) -> list[messages.Suspicions]:
-        """Returns all that is known, by datagram."""
+        """Returns all high-risk requests, by datagram."""
         return self._outbox.list_all(now)
 
-    def note_others(self, count: int) -> None:
-        """Takes how many other instances there are."""
-        self._others = count
+    def set_peer_count(self, count: int) -> None:
+        """Sets how many other instances there are."""
+        self._peer_count = count
 
-    def note_told(
-        self, told: messages.Suspicions, host: str, now: float
+    def receive_suspicions(
+        self, received: messages.Suspicions, host: str, now: float
     ) -> None:
-        """Takes what another instance tells.
+        """Records crashes and clearances from another instance.
 
         Args:
-            told: What.
-            host: Its host.
+            received: The message.
+            host: The host of the other instance.
             now: Monotonic seconds.
         """
-        for word in told.cleared:
-            digest = ids.RequestDigest(word.digest)
-            at = now - word.age_ms / 1000.0
-            self.book.clear(digest, at, now, answered=not word.lifted)
-        for each in told.ends:
+        for clearance in received.cleared:
+            digest = ids.RequestDigest(clearance.digest)
+            at = now - clearance.age_ms / 1000.0
+            self.tracker.clear(digest, at, now, answered=not clearance.lifted)
+        for each in received.ends:
             digest = ids.RequestDigest(each.digest)
-            end = cases.End(
+            crash = crashes.Crash(
                 each.place,
                 now - each.sent_ms / 1000.0,
                 now - each.ended_ms / 1000.0,
                 each.witness,
                 None if each.made_ms is None else now - each.made_ms / 1000.0,
             )
-            if self.book.note_end(digest, end, now):
-                self._outbox.add_end(digest, end)
-                self._witness.check(end.place)
+            if self.tracker.record_crash(digest, crash, now):
+                self._outbox.add_crash(digest, crash)
+                self._detector.probe(crash.runner_hash)
             if each.witness == messages.hash_name(host.encode()):
-                self.book.note_reporter(digest, host)
-        for kept in told.kept:
-            self.book.note_voucher(ids.RequestDigest(kept), host)
+                self.tracker.record_reporter(digest, host)
+        for kept in received.kept:
+            self.tracker.record_confirmation(ids.RequestDigest(kept), host)
 
-    def _list_doubted(
+    def _list_unconfirmed(
         self, digest: ids.RequestDigest, now: float
-    ) -> list[cases.End]:
-        """Returns ends under a request that time will prove or disprove."""
-        unproven = self._witness.list_unproven(digest, now)
-        case = self.book.find(digest)
-        if case is None:
-            return unproven
-        return unproven + self._witness.list_doubted(case, now)
-
-    def _count_other_ends(self, case: cases.Case) -> int:
-        """Returns how many runners have ended without a request."""
-        ended = self._witness.list_ended(case.ends[0].ended_at)
-        return self.book.count_other_ends(case, ended)
-
-    def _note_end(
-        self, digest: ids.RequestDigest, end: cases.End, now: float
+    ) -> list[crashes.Crash]:
+        """Returns a request's crashes that are neither proven nor disproven."""
+        possible = self._detector.list_possible_crashes(digest, now)
+        history = self.tracker.find(digest)
+        if history is None:
+            return possible
+        return possible + self._detector.list_unconfirmed(history, now)
+
+    def _count_unrelated_crashes(self, history: crashes.CrashHistory) -> int:
+        """Returns how many runners have crashed without a request."""
+        crashed = self._detector.list_crashed(history.crashes[0].crashed_at)
+        return self.tracker.count_unrelated_crashes(history, crashed)
+
+    def _record_crash(
+        self, digest: ids.RequestDigest, crash: crashes.Crash, now: float
     ) -> None:
-        if not self.book.note_end(digest, end, now):
+        if not self.tracker.record_crash(digest, crash, now):
             return
-        self._outbox.add_end(digest, end)
-        for tell in self._on_urgent:
-            tell()
+        self._outbox.add_crash(digest, crash)
+        for notify in self._on_urgent:
+            notify()
--- a/pollenfork/poison/records.py
+++ b/pollenfork/poison/records.py
@@ -1,7 +1,8 @@
-"""Requests that are kept back, as they are stored.
+"""Encodes quarantined requests as rows of the store.
 
-What instances tell each other is lost where all of them lose power at once; a
-request that was kept back would end three more runners then, each time.
+Whatever instances exchange in memory is lost if all of them lose power at once.
+Without these rows, each quarantined request could then crash three more runners
+every time.
 """
 
 import msgspec
@@ -9,21 +10,22 @@
 
 from pollenfork import failures
 from pollenfork import ids
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import trials
 
 _MS = 1000.0
 _LARGEST_DIGEST = 1 << 64
-# When a request was answered isn't stored, but that it was, before its ends.
-_BEFORE_S = 1.0
+# The time of the last answer isn't stored, only that there was one. It is set
+# to this many seconds before the first crash.
+_ANSWERED_BEFORE_S = 1.0
 
 
 class BadRecord(failures.Failure, frozen=True, kw_only=True):
-    """A stored row is no request that is kept back."""
+    """A stored row can't be decoded as a quarantined request."""
 
 
 class _End(msgspec.Struct, frozen=True):
-    """An end; moments in Unix milliseconds."""
+    """A crash; times are in Unix milliseconds."""
 
     place: int
     sent_ms: int
@@ -33,53 +35,53 @@
 
 
 class _Record(msgspec.Struct, frozen=True):
-    """What speaks against a request; whether it was ever answered before."""
+    """The crashes under a request, and whether it was ever answered."""
 
     ends: tuple[_End, ...]
     answered: bool = False
 
 
-def write_key(digest: ids.RequestDigest) -> str:
+def format_key(digest: ids.RequestDigest) -> str:
     """Returns the key of a request's row."""
     return f"{digest:016x}"
 
 
-def write_trial_key(digest: ids.RequestDigest, number: int) -> str:
+def format_trial_key(digest: ids.RequestDigest, number: int) -> str:
     """Returns the key of the row that claims a request's trial."""
-    return f"{write_key(digest)}-{number}"
+    return f"{format_key(digest)}-{number}"
 
 
 def list_trial_keys(digest: ids.RequestDigest) -> tuple[str, ...]:
     """Returns the keys of all trials that a request may have."""
-    numbers = range(1, trials.TRIALS_LIMIT + 1)
-    return tuple(write_trial_key(digest, number) for number in numbers)
+    numbers = range(1, trials.MAX_TRIALS + 1)
+    return tuple(format_trial_key(digest, number) for number in numbers)
 
 
-def write(case: cases.Case, now: float, wall: float) -> bytes:
-    """Returns a request's row.
+def encode(history: crashes.CrashHistory, now: float, wall: float) -> bytes:
+    """Returns the row of a quarantined request.
 
     Args:
-        case: What speaks against it.
+        history: The request's crash history.
         now: Monotonic seconds.
         wall: The time of day in Unix seconds.
     """
     ends = tuple(
         _End(
-            each.place,
+            each.runner_hash,
             int((wall - now + each.sent_at) * _MS),
-            int((wall - now + each.ended_at) * _MS),
-            each.witness,
-            int((wall - now + each.connected_at) * _MS),
+            int((wall - now + each.crashed_at) * _MS),
+            each.sender,
+            int((wall - now + each.latest_connected_at) * _MS),
         )
-        for each in case.ends
+        for each in history.crashes
     )
-    return msgspec.json.encode(_Record(ends, case.answered))
+    return msgspec.json.encode(_Record(ends, history.answered))
 
 
-def read(
+def decode(
     key: str, value: bytes, now: float, wall: float
-) -> result.Result[cases.Case, BadRecord]:
-    """Decodes a request's row; another writer may leave anything there."""
+) -> result.Result[crashes.CrashHistory, BadRecord]:
+    """Decodes a request's row, which may hold anything."""
     try:
         record = msgspec.json.decode(value, type=_Record)
         digest = int(key, 16)
@@ -87,8 +89,8 @@
         return result.Err(BadRecord(detail=str(error)))
     if not 0 <= digest < _LARGEST_DIGEST or not record.ends:
         return result.Err(BadRecord(detail="out of range"))
-    ends = [
-        cases.End(
+    decoded = [
+        crashes.Crash(
             each.place,
             min(now, now - wall + each.sent_ms / _MS),
             min(now, now - wall + each.ended_ms / _MS),
@@ -99,8 +101,12 @@
         )
         for each in record.ends
     ]
-    case = cases.Case(ids.RequestDigest(digest), ends, moved_at=now)
+    history = crashes.CrashHistory(
+        ids.RequestDigest(digest), decoded, updated_at=now
+    )
     if record.answered:
-        case.answered = True
-        case.cleared_at = min(each.sent_at for each in ends) - _BEFORE_S
-    return result.Ok(case)
+        history.answered = True
+        history.cleared_at = (
+            min(each.sent_at for each in decoded) - _ANSWERED_BEFORE_S
+        )
+    return result.Ok(history)
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -14,7 +14,7 @@
 from pollenfork.fleet import registry
 from pollenfork.loads import core
 from pollenfork.loads import messages
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import quarantine
 
 SERVICE = ids.ServiceName("s")
@@ -40,7 +40,7 @@
         self.kept_connections: dict[str, float] = {}
         self.runners = registry.Registry()
         self.chooser = choice.Chooser(self.runners, random.Random(self.host))
-        self.suspected = quarantine.Quarantine(
+        self.quarantine = quarantine.Quarantine(
             self.runners,
             self.host,
             lambda runner, at: self.chooser.find_standing(runner).lives_since(
@@ -48,7 +48,9 @@
             ),
             lambda: fleet.now,
         )
-        self.suspected.when_doubted(lambda runner: fleet.connect(self, runner))
+        self.quarantine.when_probe_needed(
+            lambda runner: fleet.connect(self, runner)
+        )
         for runner in fleet.runners.values():
             self.runners.put(runner)
         self.exchange = core.Exchange(
@@ -57,7 +59,7 @@
             [messages.Address(f"10.{n}.0.{n:03}", _PORT) for n in range(2)],
             self,
         )
-        self.suspected.when_urgent(
+        self.quarantine.when_urgent(
             lambda: fleet.deliver(
                 self, self.exchange.tell_suspicions(fleet.now)
             )
@@ -99,19 +101,19 @@
         pass
 
     def take_suspicions(self, now):
-        return self.suspected.take_news(now)
+        return self.quarantine.take_updates(now)
 
     def take_suspicions_page(self, now):
-        return self.suspected.take_page(now)
+        return self.quarantine.take_page(now)
 
     def list_suspicions(self, now):
-        return self.suspected.list_all(now)
+        return self.quarantine.list_all(now)
 
     def note_suspicions(self, told, host, now):
-        self.suspected.note_told(told, host, now)
+        self.quarantine.receive_suspicions(told, host, now)
 
     def note_instances(self, count: int) -> None:
-        self.suspected.note_others(count - 1)
+        self.quarantine.set_peer_count(count - 1)
 
 
 class Fleet:
@@ -207,7 +209,7 @@
         def tell() -> None:
             if runner.id in self.down:
                 place = evidence.mark(runner)
-                instance.suspected.note_absent(place, here=True)
+                instance.quarantine.record_absence(place, here=True)
             else:
                 seen = instance.chooser.find_standing(runner.id)
                 seen.reached_at = begun_at
@@ -225,9 +227,11 @@
         """
         if not instance.alive:
             return
-        verdict = instance.suspected.judge(ids.RequestDigest(digest), self.now)
-        if verdict is cases.Verdict.DOUBTED or (
-            verdict is cases.Verdict.KEPT_BACK
+        verdict = instance.quarantine.evaluate(
+            ids.RequestDigest(digest), self.now
+        )
+        if verdict is crashes.Verdict.UNCONFIRMED or (
+            verdict is crashes.Verdict.QUARANTINED
             and not self._claim_trial(instance, digest)
         ):
             self.kept[digest] = self.kept.get(digest, 0) + 1
@@ -239,7 +243,7 @@
             set(),
             self.now,
             None,
-            suspect if verdict is not cases.Verdict.CLEAR else None,
+            suspect if verdict is not crashes.Verdict.CLEAR else None,
         )
         assert isinstance(grant, outcomes.Grant)
         sent_at = self.now
@@ -249,7 +253,7 @@
 
     def _claim_trial(self, instance: Instance, digest: int) -> bool:
         """Returns whether an instance may try a request; each trial once."""
-        number = instance.suspected.take_trial(
+        number = instance.quarantine.take_trial(
             ids.RequestDigest(digest), self.now
         )
         if number is None or (digest, number) in self.trials:
@@ -296,14 +300,14 @@
 
     def _find(self, place: int, finder: Instance) -> None:
         """Lets an instance find that nobody is there, and tell the others."""
-        finder.suspected.note_absent(place, here=True)
+        finder.quarantine.record_absence(place, here=True)
         if not self.tells_findings:
             return
         for each in self.instances:
             if each is not finder and each.alive:
                 self.call_in(
                     core.PERIOD_S,
-                    lambda each=each: each.suspected.note_absent(
+                    lambda each=each: each.quarantine.record_absence(
                         place, here=False
                     ),
                 )
@@ -327,14 +331,14 @@
     def _begin(self, instance, digest, grant, sent_at, run_s) -> None:
         name = grant.runner.id
         if self._is_stale(instance, name):
-            made_at = instance.kept_connections.pop(name)
+            connected_at = instance.kept_connections.pop(name)
             instance.chooser.settle(grant)
-            instance.suspected.note_broken(
+            instance.quarantine.record_broken_connection(
                 ids.RequestDigest(digest),
                 grant.runner,
                 sent_at,
                 self.now,
-                made_at,
+                connected_at,
             )
             self.connect(instance, grant.runner)
             return
@@ -342,7 +346,7 @@
             instance.chooser.settle(grant)
             grant.standing.shunned_until = self.now + 0.8
             place = evidence.mark(grant.runner)
-            instance.suspected.note_absent(place, here=True)
+            instance.quarantine.record_absence(place, here=True)
             return
         self.sent.setdefault(digest, []).append(self.now)
         running = (instance, digest, grant, sent_at)
@@ -363,22 +367,22 @@
             grant.standing.answered_at = self.now
             self.answered[digest] = self.answered.get(digest, 0) + 1
             self.answered_at.setdefault(digest, []).append(self.now)
-            instance.suspected.note_answered(
+            instance.quarantine.record_answer(
                 ids.RequestDigest(digest), self.now
             )
 
     def _break(self, instance, digest, grant, sent_at) -> None:
         instance.chooser.settle(grant)
         if instance.alive:
-            instance.suspected.note_broken(
+            instance.quarantine.record_broken_connection(
                 ids.RequestDigest(digest), grant.runner, sent_at, self.now
             )
 
     def _is_stale(self, instance: Instance, name: str) -> bool:
         """Returns whether a request goes on a connection to what has ended."""
-        made_at = instance.kept_connections.get(name)
+        connected_at = instance.kept_connections.get(name)
         ended_at = self._ended_last.get(name, 0.0)
-        if made_at is None or made_at > ended_at:
+        if connected_at is None or connected_at > ended_at:
             return False
         if self.now - ended_at < self.stale_s * self.rng.random():
             return True
@@ -400,7 +404,7 @@
     def _tick(self, instance: Instance) -> None:
         self.call_in(core.PERIOD_S, lambda: self._tick(instance))
         if instance.alive:
-            instance.suspected.sweep(self.now)
+            instance.quarantine.sweep(self.now)
             self.deliver(instance, instance.exchange.tick(self.now))
 
     def _hear(self, send: messages.Send, sender: str) -> None:
--- a/pollenfork/poison/tests/test_bounds.py
+++ b/pollenfork/poison/tests/test_bounds.py
@@ -8,9 +8,9 @@
 
 from pollenfork.loads import core
 from pollenfork.loads import rumours
-from pollenfork.poison import cases
-from pollenfork.poison import witness
-from pollenfork.poison.tests import pages
+from pollenfork.poison import crashes
+from pollenfork.poison import detector
+from pollenfork.poison.tests import doc_tables
 
 WINDOW_S = 3.0
 # A way of a datagram, and a connection that is refused.
@@ -24,11 +24,11 @@
 SUMS = {
     "no loss": PROOF_S + WAYS * WAY_S + CHECK_S,
     "first telling lost": (PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + CHECK_S),
-    "can't connect": PROOF_S + WAYS * WAY_S + witness._DOUBTED_S,
+    "can't connect": PROOF_S + WAYS * WAY_S + detector._UNCONFIRMED_S,
     "all news lost": (
         PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + rumours._PAGE_S + CHECK_S
     ),
-    "at one moment": cases.SETTLING_S,
+    "at one moment": crashes.CONCURRENT_WAIT_S,
     "that starts": core.PERIOD_S + rumours._ASK_S + 2 * WAY_S + CHECK_S,
 }
 
@@ -39,6 +39,6 @@
 
 def test_the_page_states_the_sums() -> None:
     for name, total in SUMS.items():
-        row = pages.find_row(PAGE, name)
+        row = doc_tables.find_row(PAGE, name)
         assert row[1] == f"{total:.2f} s", name
         assert row[2] == f"{WINDOW_S - total:.2f} s", name
--- a/pollenfork/poison/tests/test_digests.py
+++ b/pollenfork/poison/tests/test_digests.py
@@ -8,8 +8,8 @@
 
 
 def test_the_same_request_has_the_same_digest_in_every_process() -> None:
-    assert digests.make(*GIVEN) == digests.make(*GIVEN)
-    assert digests.make(None, b"GET", b"/", b"") == 0x80621653CB764083
+    assert digests.compute(*GIVEN) == digests.compute(*GIVEN)
+    assert digests.compute(None, b"GET", b"/", b"") == 0x80621653CB764083
 
 
 def test_any_other_account_method_target_or_body_has_another_one() -> None:
@@ -21,5 +21,5 @@
         (ACCOUNT, b"POST", b"/p/1", b"texts"),
         (ACCOUNT, b"POST", b"/p/1 t", b"ext"),
     ]
-    made = {digests.make(*each) for each in (GIVEN, *others)}
+    made = {digests.compute(*each) for each in (GIVEN, *others)}
     assert len(made) == 1 + len(others)
--- a/pollenfork/poison/tests/test_drawn.py
+++ b/pollenfork/poison/tests/test_drawn.py
@@ -4,7 +4,7 @@
 import pytest
 
 from pollenfork import ids
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import trials
 from pollenfork.poison.tests import drawn
 from pollenfork.poison.tests import fleet as fleets
@@ -39,21 +39,23 @@
     begun = fleet.now
     fleet.repeat(drawn.POISON, 0.05, 6.0)
     fleet.run(6.0)
-    assert max(fleet.kept_at[drawn.POISON]) < begun + trials.WAITS_S[0] + 0.5
+    assert max(fleet.kept_at[drawn.POISON]) < begun + trials.DELAYS_S[0] + 0.5
 
 
 def test_what_was_never_answered_is_not_tried() -> None:
-    case = cases.Case(
-        ids.RequestDigest(1), [cases.End(1, 1.0, 1.1, 1)], kept_since=1.2
+    case = crashes.CrashHistory(
+        ids.RequestDigest(1),
+        [crashes.Crash(1, 1.0, 1.1, 1)],
+        quarantined_at=1.2,
     )
     assert trials.Trials().take_due(case, 100.0) is None
 
 
 def test_two_trials_are_all_that_one_instance_asks_for() -> None:
-    case = cases.Case(
+    case = crashes.CrashHistory(
         ids.RequestDigest(1),
-        [cases.End(1, 1.0, 1.1, 1)],
-        kept_since=1.2,
+        [crashes.Crash(1, 1.0, 1.1, 1)],
+        quarantined_at=1.2,
         answered=True,
     )
     made = trials.Trials()
@@ -64,10 +66,10 @@
 # Guards against a text that waits for its second trial while runners end that
 # do not run it, and against more trials than the promise leaves.
 def test_trials_follow_each_other_sooner_where_runners_end_without_it() -> None:
-    case = cases.Case(
+    case = crashes.CrashHistory(
         ids.RequestDigest(1),
-        [cases.End(1, 1.0, 1.1, 1)],
-        kept_since=1.2,
+        [crashes.Crash(1, 1.0, 1.1, 1)],
+        quarantined_at=1.2,
         answered=True,
     )
     made = trials.Trials()
@@ -77,7 +79,7 @@
         number: now for now, number in zip(moments, due, strict=True) if number
     }
     assert list(found) == [1, 2, 3]
-    assert found[3] < case.ends[0].ended_at + trials.WAITS_S[0]
+    assert found[3] < case.crashes[0].crashed_at + trials.DELAYS_S[0]
 
 
 def test_runners_that_left_as_planned_speak_for_no_request() -> None:
@@ -87,7 +89,7 @@
         one.runners.put(msgspec.structs.replace(runner, leaving=True))
         fleet.run(0.2)
         one.runners.drop(ids.EndpointId(name))
-    assert one.suspected._witness.list_ended(0.0) == []
+    assert one.quarantine._detector.list_crashed(0.0) == []
 
 
 def test_a_request_tried_beside_other_ends_is_sent_three_times_at_most() -> (
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -9,16 +9,16 @@
 
 from pollenfork import ids
 from pollenfork.loads import messages
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison.tests import fleet as fleets
 
 POISON, POPULAR, OTHER = 11, 22, 33
 
 
-def judge(fleet: fleets.Fleet, digest: int) -> set[cases.Verdict]:
+def judge(fleet: fleets.Fleet, digest: int) -> set[crashes.Verdict]:
     """Returns what the instances think of a request."""
     return {
-        each.suspected.judge(ids.RequestDigest(digest), fleet.now)
+        each.quarantine.evaluate(ids.RequestDigest(digest), fleet.now)
         for each in fleet.instances
         if each.alive
     }
@@ -69,7 +69,7 @@
     fleet.repeat(POISON, 0.1, 20.0)
     fleet.run(20.0)
     assert fleet.count_late(POISON) == 0
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
 
 
 def test_a_popular_text_that_runs_at_each_end_is_served_on() -> None:
@@ -129,7 +129,7 @@
         for name in fleet.runners:
             fleet.cut_connections(name)
         fleet.run(0.5)
-    assert judge(fleet, OTHER) == {cases.Verdict.CLEAR}
+    assert judge(fleet, OTHER) == {crashes.Verdict.CLEAR}
 
 
 def test_a_runner_that_leaves_ends_as_planned() -> None:
@@ -151,7 +151,7 @@
         fleet.run(0.1)
         for each in fleet.runners.values():
             one.runners.put(each)
-    assert judge(fleet, OTHER) == {cases.Verdict.CLEAR}
+    assert judge(fleet, OTHER) == {crashes.Verdict.CLEAR}
 
 
 def test_a_broken_instance_that_accuses_everything_keeps_nothing_back() -> None:
@@ -176,7 +176,7 @@
     assert OTHER not in fleet.kept
     accuser.alive = False
     for digest in others:
-        assert cases.Verdict.KEPT_BACK not in judge(fleet, digest)
+        assert crashes.Verdict.QUARANTINED not in judge(fleet, digest)
 
 
 def test_a_broken_instance_hides_no_true_end() -> None:
@@ -188,12 +188,12 @@
             place = fleets.evidence.mark(fleet.runners[f"r{number % 9}"])
             end = messages.RunnerEnd(POISON, place + number, 90, 80, 1)
             told = messages.Suspicions("c0", (end,))
-            each.suspected.note_told(told, "10.0.0.000", fleet.now)
+            each.quarantine.receive_suspicions(told, "10.0.0.000", fleet.now)
             fleet.run(0.05)
     fleet.poison.add(POISON)
     fleet.repeat(POISON, 0.25, 8.0)
     fleet.run(9.0)
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
     assert fleet.count_ends(POISON) == 3
 
 
@@ -203,10 +203,10 @@
     fleet.ask(fleet.instances[0], POISON, run_s=8.0)  # Ends nothing, below.
     fleet.repeat(POISON, 0.25, 4.0)
     fleet.run(4.0)
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
     fleet.poison.clear()
     fleet.run(6.0)
-    assert cases.Verdict.KEPT_BACK not in judge(fleet, POISON)
+    assert crashes.Verdict.QUARANTINED not in judge(fleet, POISON)
 
 
 def test_an_operator_lifts_it_everywhere_and_it_counts_anew() -> None:
@@ -215,12 +215,12 @@
     fleet.repeat(POISON, 0.25, 4.0)
     fleet.run(4.0)
     digest = ids.RequestDigest(POISON)
-    assert fleet.instances[5].suspected.lift(digest)
+    assert fleet.instances[5].quarantine.lift(digest)
     fleet.run(1.0)
-    assert judge(fleet, POISON) == {cases.Verdict.CLEAR}
+    assert judge(fleet, POISON) == {crashes.Verdict.CLEAR}
     fleet.repeat(POISON, 0.5, 10.0)
     fleet.run(11.0)
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
     assert fleet.count_ends(POISON) == 6
 
 
@@ -237,7 +237,7 @@
     fleet.cuts.clear()
     late.begin()
     fleet.run(2.9)
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
 
 
 def test_the_last_one_knows_though_all_were_replaced_in_turn() -> None:
@@ -248,7 +248,7 @@
     for each in fleet.instances:
         each.begin()
         fleet.run(3.0)
-    assert judge(fleet, POISON) == {cases.Verdict.KEPT_BACK}
+    assert judge(fleet, POISON) == {crashes.Verdict.QUARANTINED}
 
 
 def test_a_thousand_such_requests_cost_what_is_stated() -> None:
@@ -259,15 +259,15 @@
     for number in range(1000):
         digest = ids.RequestDigest(5000 + number)
         ends = [
-            cases.End(
+            crashes.Crash(
                 place, fleet.now - 9 + 2 * place, fleet.now - 8 + 2 * place, 1
             )
             for place in range(3)
         ]
-        stored = cases.Case(digest, ends)
-        fleet.instances[0].suspected.book.restore(stored, fleet.now)
+        stored = crashes.CrashHistory(digest, ends)
+        fleet.instances[0].quarantine.tracker.restore(stored, fleet.now)
     before = fleet.bytes
     fleet.run(10.0)
-    assert len(fleet.instances[0].suspected.book.list_kept()) == 1000
+    assert len(fleet.instances[0].quarantine.tracker.list_quarantined()) == 1000
     each = (fleet.bytes - before) / 10.0 / 8
     assert each - idle < 15_000  # Bytes a second.
--- a/pollenfork/poison/tests/test_records.py
+++ b/pollenfork/poison/tests/test_records.py
@@ -5,33 +5,33 @@
 import pytest
 
 from pollenfork import ids
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
 from pollenfork.poison import records
 
 NOW, WALL = 50.0, 1_700_000_000.0
-CASE = cases.Case(
+CASE = crashes.CrashHistory(
     ids.RequestDigest(0xABC),
-    [cases.End(7, 40.0, 41.0, 3), cases.End(8, 43.0, 44.0, 4)],
+    [crashes.Crash(7, 40.0, 41.0, 3), crashes.Crash(8, 43.0, 44.0, 4)],
 )
 
 
 def test_a_start_reads_how_long_ago_each_end_was() -> None:
-    value = records.write(CASE, NOW, WALL)
-    key = records.write_key(CASE.digest)
+    value = records.encode(CASE, NOW, WALL)
+    key = records.format_key(CASE.digest)
     # Ten seconds later, on a machine that has just started.
-    read = records.read(key, value, 2.0, WALL + 10.0).unwrap()
+    read = records.decode(key, value, 2.0, WALL + 10.0).unwrap()
     assert read.digest == CASE.digest
-    assert [each.place for each in read.ends] == [7, 8]
-    assert read.ends[0].ended_at == pytest.approx(2.0 - 19.0, abs=0.01)
+    assert [each.runner_hash for each in read.crashes] == [7, 8]
+    assert read.crashes[0].crashed_at == pytest.approx(2.0 - 19.0, abs=0.01)
 
 
 def test_a_clock_that_is_behind_makes_no_end_of_the_future() -> None:
-    value = records.write(CASE, NOW, WALL)
-    key = records.write_key(CASE.digest)
-    read = records.read(key, value, 2.0, WALL - 3600.0).unwrap()
-    assert all(each.ended_at <= 2.0 for each in read.ends)
+    value = records.encode(CASE, NOW, WALL)
+    key = records.format_key(CASE.digest)
+    read = records.decode(key, value, 2.0, WALL - 3600.0).unwrap()
+    assert all(each.crashed_at <= 2.0 for each in read.crashes)
 
 
 @hypothesis.given(strategies.text(), strategies.binary())
 def test_whatever_is_stored_raises_nothing(key, value) -> None:
-    assert records.read(key, value, NOW, WALL).is_err()
+    assert records.decode(key, value, NOW, WALL).is_err()
--- a/pollenfork/poison/tests/test_book_machine.py
+++ b/pollenfork/poison/tests/test_tracker_machine.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies
 
 from pollenfork import ids
-from pollenfork.poison import book
-from pollenfork.poison import cases
+from pollenfork.poison import crashes
+from pollenfork.poison import tracker
 
 DIGESTS = strategies.sampled_from([ids.RequestDigest(n) for n in (1, 2)])
 INSTANCES = strategies.integers(0, 2)
@@ -17,8 +17,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.books = [book.Book(lambda *_: True) for _ in range(3)]
-        self.ends: dict[int, list[cases.End]] = {1: [], 2: []}
+        self.books = [tracker.RequestTracker(lambda *_: True) for _ in range(3)]
+        self.ends: dict[int, list[crashes.Crash]] = {1: [], 2: []}
         self.answers: dict[int, list[float]] = {1: [], 2: []}
         self.place = 0
 
@@ -34,21 +34,21 @@
     def end(self, digest, at, ran_s) -> None:
         self.now += 0.3
         self.place += 1
-        end = cases.End(self.place, self.now - ran_s, self.now, at)
+        end = crashes.Crash(self.place, self.now - ran_s, self.now, at)
         self.ends[digest].append(end)
-        self.books[at].note_end(digest, end, self.now)
+        self.books[at].record_crash(digest, end, self.now)
 
     @stateful.rule(digest=DIGESTS, at=INSTANCES)
     def answer(self, digest, at) -> None:
         self.now += 0.3
         self.answers[digest].append(self.now)
-        self.books[at].note_answered(digest, self.now)
+        self.books[at].record_answer(digest, self.now)
 
     @stateful.rule(digest=DIGESTS, to=INSTANCES, which=strategies.integers(0))
     def tell_end(self, digest, to, which) -> None:
         if known := self.ends[digest]:
             end = known[which % len(known)]
-            self.books[to].note_end(digest, end, self.now)
+            self.books[to].record_crash(digest, end, self.now)
 
     @stateful.rule(digest=DIGESTS, to=INSTANCES)
     def tell_answer(self, digest, to) -> None:
@@ -60,30 +60,30 @@
         """Then all instances think the same, and no answered one is kept."""
         for each in self.books:
             for end in self.ends[digest]:
-                each.note_end(digest, end, self.now)
+                each.record_crash(digest, end, self.now)
             if self.answers[digest]:
                 each.clear(digest, self.answers[digest][-1], self.now)
         kept = {
-            each.judge(digest, self.now) is cases.Verdict.KEPT_BACK
+            each.evaluate(digest, self.now) is crashes.Verdict.QUARANTINED
             for each in self.books
         }
         last = max(self.answers[digest], default=0.0)
-        since = [each for each in self.ends[digest] if each.ended_at > last]
-        if len(since) < cases.ENDS_ALLOWED:
+        since = [each for each in self.ends[digest] if each.crashed_at > last]
+        if len(since) < crashes.CRASH_LIMIT:
             assert kept == {False}
         elif not last:
             # One after the other, or nothing but ends for long enough.
-            lone = cases.count_rounds(since) > 1
-            settled = self.now - since[2].ended_at > cases.SETTLING_S
+            lone = crashes.count_successive(since) > 1
+            settled = self.now - since[2].crashed_at > crashes.CONCURRENT_WAIT_S
             if lone or settled:
                 assert kept == {True}
 
     @stateful.invariant()
     def keeps_back_nothing_with_few_ends(self) -> None:
         for each in self.books:
-            for case in each.list_kept():
-                assert len(self.ends[case.digest]) >= cases.ENDS_ALLOWED
-                assert len(case.ends) >= cases.ENDS_ALLOWED
+            for case in each.list_quarantined():
+                assert len(self.ends[case.digest]) >= crashes.CRASH_LIMIT
+                assert len(case.crashes) >= crashes.CRASH_LIMIT
 
     @stateful.invariant()
     def forgets_no_answer(self) -> None:
@@ -92,7 +92,9 @@
                 case = each.find(ids.RequestDigest(digest))
                 if case is None or case.cleared_at is None:
                     continue
-                assert all(end.ended_at > case.cleared_at for end in case.ends)
+                assert all(
+                    end.crashed_at > case.cleared_at for end in case.crashes
+                )
 
 
 TestBooks = Books.TestCase
--- a/pollenfork/poison/trials.py
+++ b/pollenfork/poison/trials.py
@@ -1,13 +1,14 @@
-"""When a request that is kept back is tried once more.
+"""Schedules trials: single attempts to run a quarantined request again.
 
-What runners have answered before may be kept back by coincidence, and nothing
-that runs nowhere can be cleared by an answer. So it is tried at one runner, by
-one instance of all: each trial is claimed in the store, where it can be claimed
-once. What no runner ever answered isn't tried; an operator may lift it.
+A request that was answered before may have been quarantined by coincidence, and
+while it is sent to no runner, no answer can clear it. So one instance sends it
+to one runner; each trial is claimed by a row in the store, which only one
+instance can write. A request that was never answered gets no trials; an
+operator may release it.
 
-Where runners end without the request, its own ends prove less and so does a
-trial that ends with its runner: trials follow each other sooner, and there is
-one more of them.
+Where runners also crash without the request, both its own crashes and a trial
+that ends in a crash prove less: trials then follow at shorter intervals, and
+there is one more of them.
 """
 
 from collections.abc import Callable
@@ -15,31 +16,32 @@
 import msgspec
 
 from pollenfork import ids
-from pollenfork.poison import cases
-
-# Seconds from the last known end until each trial. The promise allows three
-# sends later than 3 s after the third end; these are two, and the first comes
-# after the sends that were under way.
-WAITS_S = (3.2, 30.0)
-# Trials at most, as many as that promise allows sends.
-TRIALS_LIMIT = 3
-# Where this many runners have ended without the request, a trial follows the
-# last end under it, or the trial before, after this long, in seconds.
-OTHER_ENDS = 2
-SOON_S = 0.6
-# How often the other ends are counted for a request, in seconds.
-_COUNT_S = 0.1
-# A refused claim is tried again after this long, in seconds.
-_AGAIN_S = 1.0
-
-
-class _Asked(msgspec.Struct):
-    """Claims made here for one request, and when the next may be.
+from pollenfork.poison import crashes
+
+# Seconds from the last known crash until each trial. At most three sends are
+# allowed later than 3 s after the third crash; these are two, and the first
+# comes after the sends that were in flight.
+DELAYS_S = (3.2, 30.0)
+# The most trials per request, the number of late sends allowed.
+MAX_TRIALS = 3
+# Where this many runners crashed without the request, a trial follows the last
+# crash under it, or the previous trial, after this many seconds.
+UNRELATED_CRASHES = 2
+SHORT_DELAY_S = 0.6
+# How often the unrelated crashes are counted for a request, in seconds.
+_COUNT_INTERVAL_S = 0.1
+# A refused claim is tried again after this many seconds.
+_CLAIM_RETRY_S = 1.0
+
+
+class _Claims(msgspec.Struct):
+    """This instance's claims of trials for one request.
 
     Attributes:
-        count: Claims made.
-        not_before: Monotonic seconds before which there is no other.
-        counted_at: The same of the last count of other ends.
+        count: How many were made.
+        not_before: The earliest time of the next one, in monotonic seconds.
+        counted_at: When unrelated crashes were last counted, in monotonic
+            seconds.
     """
 
     count: int = 0
@@ -48,70 +50,83 @@
 
 
 class Trials:
-    """Decides whether this instance may claim a trial now."""
+    """Decides when this instance may claim a trial."""
 
     def __init__(self) -> None:
-        self._asked: dict[ids.RequestDigest, _Asked] = {}
+        self._claims: dict[ids.RequestDigest, _Claims] = {}
 
     def take_due(
         self,
-        case: cases.Case,
+        history: crashes.CrashHistory,
         now: float,
-        count_others: Callable[[], int] = lambda: 0,
+        count_unrelated: Callable[[], int] = lambda: 0,
     ) -> int | None:
-        """Returns the number of the trial to claim, once; None: none is due.
+        """Returns the number of the trial to claim now; None if none is due.
+
+        Each number is returned once, unless its claim is refused.
 
         Args:
-            case: A request.
+            history: The request's crash history.
             now: Monotonic seconds.
-            count_others: Returns how many runners have ended without it since
-                its first end.
+            count_unrelated: Returns how many runners have crashed without the
+                request since its first crash.
         """
-        if case.kept_since is None or not case.answered or not case.ends:
+        if (
+            history.quarantined_at is None
+            or not history.answered
+            or not history.crashes
+        ):
             return None
-        asked = self._asked.setdefault(case.digest, _Asked())
-        if now < asked.not_before:
+        claims = self._claims.setdefault(history.digest, _Claims())
+        if now < claims.not_before:
             return None
-        quiet_s = now - case.ends[-1].ended_at
-        if not _is_due(asked.count, quiet_s) and not _is_due_soon(
-            asked, quiet_s, now, count_others
+        quiet_s = now - history.crashes[-1].crashed_at
+        if not _is_due(claims.count, quiet_s) and not _is_due_early(
+            claims, quiet_s, now, count_unrelated
         ):
             return None
-        asked.count += 1
+        claims.count += 1
         # Another instance's trial under the same number may still run.
-        asked.not_before = now + SOON_S
-        return asked.count
-
-    def note_refused(self, digest: ids.RequestDigest, now: float) -> None:
-        """Takes that the store took no claim: it may be made again."""
-        asked = self._asked.get(digest)
-        if asked is not None and asked.count:
-            asked.count -= 1
-            asked.not_before = now + _AGAIN_S
-
-    def forget(self, kept: set[ids.RequestDigest]) -> None:
-        """Forgets all but the requests that are kept back."""
-        for digest in [each for each in self._asked if each not in kept]:
-            del self._asked[digest]
+        claims.not_before = now + SHORT_DELAY_S
+        return claims.count
+
+    def record_refused_claim(
+        self, digest: ids.RequestDigest, now: float
+    ) -> None:
+        """Allows a claim that the store refused to be made again."""
+        claims = self._claims.get(digest)
+        if claims is not None and claims.count:
+            claims.count -= 1
+            claims.not_before = now + _CLAIM_RETRY_S
+
+    def retain(self, quarantined: set[ids.RequestDigest]) -> None:
+        """Forgets the claims of all other requests."""
+        for digest in [
+            each for each in self._claims if each not in quarantined
+        ]:
+            del self._claims[digest]
 
 
 def _is_due(count: int, quiet_s: float) -> bool:
-    """Returns whether a trial is due by time alone.
+    """Returns whether a trial is due by the time since the last crash.
 
     Args:
-        count: Trials that there have been.
-        quiet_s: Seconds since the last end.
+        count: The number of trials so far.
+        quiet_s: Seconds since the last crash.
     """
-    return count < len(WAITS_S) and quiet_s >= WAITS_S[count]
+    return count < len(DELAYS_S) and quiet_s >= DELAYS_S[count]
 
 
-def _is_due_soon(
-    asked: _Asked, quiet_s: float, now: float, count_others: Callable[[], int]
+def _is_due_early(
+    claims: _Claims,
+    quiet_s: float,
+    now: float,
+    count_unrelated: Callable[[], int],
 ) -> bool:
-    """Returns whether a trial is due as runners end without the request."""
-    if asked.count >= TRIALS_LIMIT or quiet_s < SOON_S:
+    """Returns whether a trial is due as runners crash without the request."""
+    if claims.count >= MAX_TRIALS or quiet_s < SHORT_DELAY_S:
         return False
-    if now - asked.counted_at < _COUNT_S:
+    if now - claims.counted_at < _COUNT_INTERVAL_S:
         return False
-    asked.counted_at = now
-    return count_others() >= OTHER_ENDS
+    claims.counted_at = now
+    return count_unrelated() >= UNRELATED_CRASHES
