--- a/benchmarks/poison_cost.py
+++ b/benchmarks/poison_cost.py
@@ -35,7 +35,7 @@
         _fill(each.quarantine, fleet.now)
     known_b, known_s = _run(fleet, instances)
     fleet.poison.add(_POISON)
-    fleet.ask_all(_POISON, over_s=1.0)
+    fleet.send_to_all(_POISON, over_s=1.0)
     fleet.run(1.5)
     return {
         "instances": instances,
@@ -45,7 +45,7 @@
         "cores_idle": round(idle_s, 5),
         "cores_known": round(known_s, 5),
         "memory_kb": round(_weigh() / 1024),
-        "ended_by_one_at_once": fleet.count_ends(_POISON),
+        "ended_by_one_at_once": fleet.count_crashes(_POISON),
     }
 
 
--- a/pollenfork/poison/detector.py
+++ b/pollenfork/poison/detector.py
@@ -313,7 +313,7 @@
         )
 
     def _has_ended(self, runner_hash: int, now: float) -> bool:
-        """Returns whether a runner is proven or reported to have ended lately."""
+        """Returns whether a runner is proven or reported to have just ended."""
         since = now - _PROOF_S
         known = self._ended.get(runner_hash)
         proven = known is not None and known.proven_at > since
--- a/pollenfork/poison/records.py
+++ b/pollenfork/poison/records.py
@@ -25,7 +25,16 @@
 
 
 class _End(msgspec.Struct, frozen=True):
-    """A crash; times are in Unix milliseconds."""
+    """A crash; times are in Unix milliseconds.
+
+    Attributes:
+        place: The hash of the runner.
+        sent_ms: When the request was sent to it.
+        ended_ms: When it crashed.
+        witness: The hash of the host of the instance that sent the request.
+        made_ms: When the connection was opened; None in rows of earlier
+            versions.
+    """
 
     place: int
     sent_ms: int
--- a/pollenfork/poison/tests/drawn.py
+++ b/pollenfork/poison/tests/drawn.py
@@ -1,7 +1,7 @@
-"""Fleets drawn from a seed: runners end for a request's or own reasons.
+"""Random fleets whose runners crash by a poison request or for other reasons.
 
-Run with `python -m pollenfork.poison.tests.drawn FIRST LAST`, it plays the
-seeds and prints those that don't hold.
+`python -m pollenfork.poison.tests.drawn FIRST LAST` runs a range of seeds and
+prints those that break a guarantee.
 """
 
 import logging
@@ -13,42 +13,41 @@
 from pollenfork.poison.tests import fleet as fleets
 
 POISON, POPULAR = 11, 22
-# An innocent that is asked for is served again within this, in seconds, from
-# when it was first kept back.
-LONGEST_S = 5.0
-_WARM_S = 2.0
+# A harmless request that keeps coming is answered again within this many
+# seconds from when it was first held back.
+MAX_HELD_S = 5.0
+_WARM_UP_S = 2.0
 _FAULTS_S = 8.0
-_AFTER_S = 8.0
-# Between two requests for the popular text, in seconds, at most: with fewer
-# there is nobody to be served.
-_SLOWEST_S = 0.5
+_RECOVERY_S = 8.0
+# The longest interval between two popular requests, in seconds. With a longer
+# one there would be too few requests to measure by.
+_LONGEST_GAP_S = 0.5
 
 
-class Played(msgspec.Struct):
-    """What came of a seed.
+class Result(msgspec.Struct):
+    """The result of a seed.
 
     Attributes:
         seed: The seed.
-        kept_s: The longest time without an answer for the popular text, from
-            its first keeping back on.
-        late: Sends of the ending request later than the window after its third
-            end.
-        ended: Runners that it ended.
+        held_s: The longest time from when the popular request was held back
+            until it was next answered.
+        late: Sends of the poison request after the window of its third crash.
+        crashed: Runners that it crashed.
     """
 
     seed: int
-    kept_s: float
+    held_s: float
     late: int
-    ended: int
+    crashed: int
 
     @property
-    def holds(self) -> bool:
-        """Whether the promises were kept."""
-        return self.kept_s <= LONGEST_S and self.late <= 3
+    def passed(self) -> bool:
+        """Whether the guarantees were kept."""
+        return self.held_s <= MAX_HELD_S and self.late <= 3
 
 
-def play(seed: int) -> Played:
-    """Plays a seed."""
+def run_seed(seed: int) -> Result:
+    """Runs a seed."""
     rng = random.Random(seed)
     fleet = fleets.Fleet(
         instances=rng.choice((3, 3, 8, 20)),
@@ -57,21 +56,21 @@
     )
     fleet.loss = rng.choice((0.0, 0.0, 0.05, 0.2))
     fleet.stale_s = rng.choice((0.0, 0.1, 0.4))
-    gap_s = rng.choice((0.005, 0.02, 0.1, _SLOWEST_S))
+    gap_s = rng.choice((0.005, 0.02, 0.1, _LONGEST_GAP_S))
     run_s = rng.uniform(0.02, 0.5)
-    fleet.repeat(POPULAR, gap_s, _WARM_S + _FAULTS_S + _AFTER_S, run_s)
-    fleet.run(_WARM_S)
-    _draw_faults(fleet, rng)
-    fleet.run(_FAULTS_S + _AFTER_S)
-    return Played(
+    fleet.repeat(POPULAR, gap_s, _WARM_UP_S + _FAULTS_S + _RECOVERY_S, run_s)
+    fleet.run(_WARM_UP_S)
+    _schedule_faults(fleet, rng)
+    fleet.run(_FAULTS_S + _RECOVERY_S)
+    return Result(
         seed,
-        _find_longest(fleet),
+        _find_longest_hold(fleet),
         fleet.count_late(POISON) if POISON in fleet.sent else 0,
-        fleet.count_ends(POISON),
+        fleet.count_crashes(POISON),
     )
 
 
-def _draw_faults(fleet: fleets.Fleet, rng: random.Random) -> None:
+def _schedule_faults(fleet: fleets.Fleet, rng: random.Random) -> None:
     if rng.random() < 0.7:
         fleet.poison.add(POISON)
         gap_s = rng.choice((0.05, 0.25, 0.7))
@@ -79,14 +78,14 @@
     if rng.random() < 0.5:
         gap_s = rng.uniform(0.02, 1.0)
         for number in range(rng.randint(1, 12)):
-            _crash_later(fleet, rng, number * gap_s)
+            _schedule_crash(fleet, rng, number * gap_s)
     if rng.random() < 0.3:
         moment = rng.uniform(0.0, 3.0)
         for _ in range(len(fleet.runners) // rng.choice((1, 2, 4))):
-            _crash_later(fleet, rng, moment)
+            _schedule_crash(fleet, rng, moment)
 
 
-def _crash_later(
+def _schedule_crash(
     fleet: fleets.Fleet, rng: random.Random, seconds: float
 ) -> None:
     name = rng.choice(sorted(fleet.runners))
@@ -94,32 +93,32 @@
     fleet.call_in(seconds, lambda: fleet.crash(name, down_s))
 
 
-def _find_longest(fleet: fleets.Fleet) -> float:
-    """Returns how long the popular text was kept back at a time, at most."""
+def _find_longest_hold(fleet: fleets.Fleet) -> float:
+    """Returns the longest time for which the popular request was held back."""
     answered = fleet.answered_at.get(POPULAR, [])
     longest = 0.0
-    for kept_at in fleet.kept_at.get(POPULAR, []):
-        until = next((at for at in answered if at > kept_at), fleet.now)
-        longest = max(longest, until - kept_at)
+    for held_at in fleet.held_at.get(POPULAR, []):
+        until = next((at for at in answered if at > held_at), fleet.now)
+        longest = max(longest, until - held_at)
     return longest
 
 
 def main(first: int, last: int) -> int:
-    """Plays seeds and prints what doesn't hold; returns the exit status."""
+    """Runs seeds and prints those that fail; returns the exit status."""
     logging.disable()
-    broken = 0
-    kept = 0
+    failed = 0
+    held = 0
     for seed in range(first, last + 1):
-        played = play(seed)
-        kept += played.kept_s > 0.0
-        if not played.holds:
-            broken += 1
-            print(played, flush=True)
+        outcome = run_seed(seed)
+        held += outcome.held_s > 0.0
+        if not outcome.passed:
+            failed += 1
+            print(outcome, flush=True)
     print(
-        f"{last - first + 1} played, {kept} with a keeping back, "
-        f"{broken} broken"
+        f"{last - first + 1} seeds, {held} with a request held back, "
+        f"{failed} failed"
     )
-    return 1 if broken else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Instances before runners in simulated time; some requests end runners."""
+"""Simulates instances and runners; poison requests crash the runners."""
 
 from collections.abc import Callable
 import heapq
@@ -18,26 +18,26 @@
 from pollenfork.poison import quarantine
 
 SERVICE = ids.ServiceName("s")
-_WAY_S = 0.001
+_LATENCY_S = 0.001
 _PORT = 7
-# From a broken connection to the refusal of a new one.
+# From a broken connection until a new one is refused.
 _PROOF_S = 0.003
 
 
 class Instance:
-    """One instance: what it knows of runners and of requests."""
+    """One simulated instance, as the exchange and the quarantine see it."""
 
-    def __init__(self, fleet: "Fleet", number: int, centres: int) -> None:
-        self.host = f"10.{number % centres}.0.{number:03}"
-        self.data_centre = ids.DataCentre(f"c{number % centres}")
+    def __init__(self, fleet: "Fleet", number: int, data_centres: int) -> None:
+        self.host = f"10.{number % data_centres}.0.{number:03}"
+        self.data_centre = ids.DataCentre(f"c{number % data_centres}")
         self._fleet = fleet
-        self.begin()
+        self.start()
 
-    def begin(self) -> None:
-        """Starts anew, knowing nothing but the registry."""
+    def start(self) -> None:
+        """Starts the instance without any state but the registry."""
         fleet = self._fleet
         self.alive = True
-        self.kept_connections: dict[str, float] = {}
+        self.idle_connections: dict[str, float] = {}
         self.runners = registry.Registry()
         self.chooser = choice.Chooser(self.runners, random.Random(self.host))
         self.quarantine = quarantine.Quarantine(
@@ -65,7 +65,7 @@
             )
         )
 
-    # What the exchange asks and tells.
+    # The interface that the exchange calls.
 
     def read_loads(self):
         return self.chooser.list_loads()
@@ -109,38 +109,38 @@
     def list_suspicions(self, now):
         return self.quarantine.list_all(now)
 
-    def note_suspicions(self, told, host, now):
-        self.quarantine.receive_suspicions(told, host, now)
+    def note_suspicions(self, received, host, now):
+        self.quarantine.receive_suspicions(received, host, now)
 
     def note_instances(self, count: int) -> None:
         self.quarantine.set_peer_count(count - 1)
 
 
 class Fleet:
-    """Instances, runners, and what was sent where.
+    """Instances and runners, and what was sent to them.
 
     Attributes:
         now: Simulated seconds.
-        poison: Digests of requests that end each runner that begins them.
-        ended_at: When a runner ended, and under which requests.
+        poison: Digests of requests that crash each runner that starts them.
+        crashes: The time of each crash, and the requests in flight.
         sent: When each request reached a runner.
-        kept: How often each request was kept back.
-        kept_at: When that was.
+        held: How often each request was held back by its verdict.
+        held_at: When that was.
         trials: Trials that were claimed, by request and number.
-        cuts: Hosts that no datagram reaches or leaves.
-        loss: The part of datagrams that is lost.
-        stale_s: How long an instance may not notice that a kept connection
-            was closed, at most.
-        down_s: How long a runner is down that a request has ended.
-        connect_s: How long an instance takes to connect to a runner of whose
-            end another one tells.
-        registry_s: From a runner's start until instances hear of it.
-        tells_findings: Whether instances tell each other where they found
-            nobody, and none of that is lost.
+        cut_off: Hosts that no datagram reaches or leaves.
+        loss: The fraction of datagrams that is lost.
+        stale_s: The longest time for which an instance doesn't notice that an
+            idle connection was closed.
+        down_s: How long a runner is down after a request has crashed it.
+        connect_s: How long an instance takes to connect to a runner that
+            another one reports as crashed.
+        registry_s: From a runner's start until instances learn of it.
+        shares_findings: Whether instances report to each other at which
+            addresses nothing listens; these reports are never lost.
     """
 
     def __init__(
-        self, instances: int, runners: int, centres: int = 3, seed: int = 1
+        self, instances: int, runners: int, data_centres: int = 3, seed: int = 1
     ) -> None:
         self.now = 100.0
         self.rng = random.Random(seed)
@@ -149,19 +149,19 @@
         self.down_s = 1.0
         self.connect_s = _PROOF_S
         self.registry_s = 0.0
-        self.tells_findings = False
-        self.cuts: set[str] = set()
+        self.shares_findings = False
+        self.cut_off: set[str] = set()
         self.poison: set[int] = set()
-        self.ended_at: list[tuple[float, list[int]]] = []
+        self.crashes: list[tuple[float, list[int]]] = []
         self.sent: dict[int, list[float]] = {}
-        self.kept: dict[int, int] = {}
-        self.kept_at: dict[int, list[float]] = {}
+        self.held: dict[int, int] = {}
+        self.held_at: dict[int, list[float]] = {}
         self.trials: set[tuple[int, int]] = set()
         self.answered: dict[int, int] = {}
         self.answered_at: dict[int, list[float]] = {}
         self.down: set[str] = set()
         self.bytes = 0
-        self._ended_last: dict[str, float] = {}
+        self._last_crash_at: dict[str, float] = {}
         self._running: dict[str, list[tuple]] = {}
         self._events: list[tuple] = []
         self._order = itertools.count()
@@ -170,20 +170,20 @@
             for n in range(runners)
         }
         self.instances = [
-            Instance(self, number, centres) for number in range(instances)
+            Instance(self, number, data_centres) for number in range(instances)
         ]
         for each in self.instances:
-            phase_s = self.rng.random() * core.PERIOD_S
-            self.call_in(phase_s, lambda each=each: self._tick(each))
+            offset_s = self.rng.random() * core.PERIOD_S
+            self.call_in(offset_s, lambda each=each: self._tick(each))
         self.run(2.0)
 
     def call_in(self, seconds: float, call: Callable[[], None]) -> None:
-        """Calls `call` later."""
+        """Schedules a call."""
         moment = self.now + seconds
         heapq.heappush(self._events, (moment, next(self._order), call))
 
     def run(self, seconds: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
@@ -191,39 +191,38 @@
         self.now = until
 
     def deliver(self, sender: Instance, sends: list[messages.Send]) -> None:
-        """Takes datagrams on their way."""
+        """Transmits datagrams, of which some may be lost."""
         for send in sends:
             self.bytes += len(messages.encode(send.message)) + 28
             if self.rng.random() < self.loss:
                 continue
-            if {send.to.host, sender.host} & self.cuts:
+            if {send.to.host, sender.host} & self.cut_off:
                 continue
             self.call_in(
-                _WAY_S, lambda send=send: self._hear(send, sender.host)
+                _LATENCY_S, lambda send=send: self._receive(send, sender.host)
             )
 
     def connect(self, instance: Instance, runner: model.Runner) -> None:
-        """Tries a connection to a runner; it tells whether it is there."""
-        begun_at = self.now + self.connect_s - _PROOF_S
+        """Opens a connection to a runner to see whether it is up."""
+        started_at = self.now + self.connect_s - _PROOF_S
 
-        def tell() -> None:
+        def finish() -> None:
             if runner.id in self.down:
-                place = evidence.mark(runner)
-                instance.quarantine.record_absence(place, here=True)
+                runner_hash = evidence.mark(runner)
+                instance.quarantine.record_absence(runner_hash, here=True)
             else:
                 seen = instance.chooser.find_standing(runner.id)
-                seen.reached_at = begun_at
+                seen.reached_at = started_at
 
-        self.call_in(self.connect_s, tell)
+        self.call_in(self.connect_s, finish)
 
-    def ask(self, instance: Instance, digest: int, run_s: float = 0.2) -> None:
+    def send(self, instance: Instance, digest: int, run_s: float = 0.2) -> None:
         """Sends a request to an instance.
 
         Args:
-            instance: Which.
-            digest: The request's.
-            run_s: How long it runs where it ends no runner; how long until it
-                ends it otherwise.
+            instance: The instance.
+            digest: The digest of the request.
+            run_s: How long it runs until it is answered or crashes its runner.
         """
         if not instance.alive:
             return
@@ -234,25 +233,28 @@
             verdict is crashes.Verdict.QUARANTINED
             and not self._claim_trial(instance, digest)
         ):
-            self.kept[digest] = self.kept.get(digest, 0) + 1
-            self.kept_at.setdefault(digest, []).append(self.now)
+            self.held[digest] = self.held.get(digest, 0) + 1
+            self.held_at.setdefault(digest, []).append(self.now)
             return
-        suspect = ids.RequestDigest(digest)
+        request = ids.RequestDigest(digest)
         grant = instance.chooser.choose(
             offers.Demand(SERVICE),
             set(),
             self.now,
             None,
-            suspect if verdict is not crashes.Verdict.CLEAR else None,
+            request if verdict is not crashes.Verdict.CLEAR else None,
         )
         assert isinstance(grant, outcomes.Grant)
         sent_at = self.now
         self.call_in(
-            _WAY_S, lambda: self._begin(instance, digest, grant, sent_at, run_s)
+            _LATENCY_S,
+            lambda: self._start_request(
+                instance, digest, grant, sent_at, run_s
+            ),
         )
 
     def _claim_trial(self, instance: Instance, digest: int) -> bool:
-        """Returns whether an instance may try a request; each trial once."""
+        """Returns whether an instance gets to claim a trial of a request."""
         number = instance.quarantine.take_trial(
             ids.RequestDigest(digest), self.now
         )
@@ -261,77 +263,81 @@
         self.trials.add((digest, number))
         return True
 
-    def ask_all(self, digest: int, over_s: float, run_s: float = 0.1) -> None:
-        """Sends a request to each instance within some time."""
+    def send_to_all(
+        self, digest: int, over_s: float, run_s: float = 0.1
+    ) -> None:
+        """Sends a request to each instance at random times."""
         for each in self.instances:
             self.call_in(
                 self.rng.random() * over_s,
-                lambda each=each: self.ask(each, digest, run_s),
+                lambda each=each: self.send(each, digest, run_s),
             )
 
     def repeat(
         self, digest: int, gap_s: float, seconds: float, run_s: float = 0.1
     ) -> None:
-        """Sends a request again and again, at any instance."""
+        """Sends a request repeatedly, each time to a random instance."""
         for number in range(int(seconds / gap_s)):
             self.call_in(
                 number * gap_s,
-                lambda: self.ask(
+                lambda: self.send(
                     self.rng.choice(self.instances), digest, run_s
                 ),
             )
 
     def crash(self, name: str, down_s: float = 1.0) -> None:
-        """Ends a runner; it is back under its id."""
+        """Crashes a runner, which is restarted under the same id."""
         if name in self.down:
             return
         self.down.add(name)
-        self._ended_last[name] = self.now
+        self._last_crash_at[name] = self.now
         running = self._running.pop(name, [])
-        self.ended_at.append((self.now, [each[1] for each in running]))
-        place = evidence.mark(self.runners[name])
+        self.crashes.append((self.now, [each[1] for each in running]))
+        runner_hash = evidence.mark(self.runners[name])
         for instance, digest, grant, sent_at in running:
-            self._break(instance, digest, grant, sent_at)
+            self._break_connection(instance, digest, grant, sent_at)
             self.call_in(
                 _PROOF_S,
-                lambda instance=instance: self._find(place, instance),
+                lambda instance=instance: self._report_absence(
+                    runner_hash, instance
+                ),
             )
         self.call_in(down_s, lambda: self._restart(name))
 
-    def _find(self, place: int, finder: Instance) -> None:
-        """Lets an instance find that nobody is there, and tell the others."""
-        finder.quarantine.record_absence(place, here=True)
-        if not self.tells_findings:
+    def _report_absence(self, runner_hash: int, reporter: Instance) -> None:
+        """Has an instance find a runner absent, and report that to others."""
+        reporter.quarantine.record_absence(runner_hash, here=True)
+        if not self.shares_findings:
             return
         for each in self.instances:
-            if each is not finder and each.alive:
+            if each is not reporter and each.alive:
                 self.call_in(
                     core.PERIOD_S,
                     lambda each=each: each.quarantine.record_absence(
-                        place, here=False
+                        runner_hash, here=False
                     ),
                 )
 
     def cut_connections(self, name: str) -> None:
-        """Breaks all connections to a runner, which goes on."""
+        """Breaks all connections to a runner, which keeps running."""
         for running in self._running.pop(name, []):
-            self._break(*running)
+            self._break_connection(*running)
 
     def count_late(self, digest: int, window_s: float = 3.0) -> int:
-        """Returns the sends later than the window after the third end."""
-        ends = [at for at, digests in self.ended_at if digest in digests]
-        if len(ends) < 3:
+        """Returns the number of sends after the window of the third crash."""
+        times = [at for at, digests in self.crashes if digest in digests]
+        if len(times) < 3:
             return 0
-        return sum(at > ends[2] + window_s for at in self.sent[digest])
+        return sum(at > times[2] + window_s for at in self.sent[digest])
 
-    def count_ends(self, digest: int) -> int:
-        """Returns the runners that ended while they ran a request."""
-        return sum(digest in digests for _, digests in self.ended_at)
+    def count_crashes(self, digest: int) -> int:
+        """Returns how many runners crashed while they ran a request."""
+        return sum(digest in digests for _, digests in self.crashes)
 
-    def _begin(self, instance, digest, grant, sent_at, run_s) -> None:
+    def _start_request(self, instance, digest, grant, sent_at, run_s) -> None:
         name = grant.runner.id
         if self._is_stale(instance, name):
-            connected_at = instance.kept_connections.pop(name)
+            connected_at = instance.idle_connections.pop(name)
             instance.chooser.settle(grant)
             instance.quarantine.record_broken_connection(
                 ids.RequestDigest(digest),
@@ -345,17 +351,17 @@
         if name in self.down:
             instance.chooser.settle(grant)
             grant.standing.shunned_until = self.now + 0.8
-            place = evidence.mark(grant.runner)
-            instance.quarantine.record_absence(place, here=True)
+            runner_hash = evidence.mark(grant.runner)
+            instance.quarantine.record_absence(runner_hash, here=True)
             return
         self.sent.setdefault(digest, []).append(self.now)
         running = (instance, digest, grant, sent_at)
         self._running.setdefault(name, []).append(running)
-        self.call_in(run_s, lambda: self._finish(name, running))
+        self.call_in(run_s, lambda: self._finish_request(name, running))
 
-    def _finish(self, name: str, running: tuple) -> None:
+    def _finish_request(self, name: str, running: tuple) -> None:
         if running not in self._running.get(name, []):
-            return  # It broke before.
+            return  # Its connection has been broken.
         instance, digest, grant, _ = running
         if digest in self.poison:
             self.crash(name, self.down_s)
@@ -363,7 +369,7 @@
         self._running[name].remove(running)
         instance.chooser.settle(grant)
         if instance.alive:
-            instance.kept_connections[name] = self.now
+            instance.idle_connections[name] = self.now
             grant.standing.answered_at = self.now
             self.answered[digest] = self.answered.get(digest, 0) + 1
             self.answered_at.setdefault(digest, []).append(self.now)
@@ -371,7 +377,7 @@
                 ids.RequestDigest(digest), self.now
             )
 
-    def _break(self, instance, digest, grant, sent_at) -> None:
+    def _break_connection(self, instance, digest, grant, sent_at) -> None:
         instance.chooser.settle(grant)
         if instance.alive:
             instance.quarantine.record_broken_connection(
@@ -379,14 +385,14 @@
             )
 
     def _is_stale(self, instance: Instance, name: str) -> bool:
-        """Returns whether a request goes on a connection to what has ended."""
-        connected_at = instance.kept_connections.get(name)
-        ended_at = self._ended_last.get(name, 0.0)
-        if connected_at is None or connected_at > ended_at:
+        """Returns whether an idle connection belongs to a crashed runner."""
+        connected_at = instance.idle_connections.get(name)
+        crashed_at = self._last_crash_at.get(name, 0.0)
+        if connected_at is None or connected_at > crashed_at:
             return False
-        if self.now - ended_at < self.stale_s * self.rng.random():
+        if self.now - crashed_at < self.stale_s * self.rng.random():
             return True
-        del instance.kept_connections[name]
+        del instance.idle_connections[name]
         return False
 
     def _restart(self, name: str) -> None:
@@ -407,7 +413,7 @@
             instance.quarantine.sweep(self.now)
             self.deliver(instance, instance.exchange.tick(self.now))
 
-    def _hear(self, send: messages.Send, sender: str) -> None:
+    def _receive(self, send: messages.Send, sender: str) -> None:
         for each in self.instances:
             if each.host == send.to.host and each.alive:
                 answers = each.exchange.hear(send.message, sender, self.now)
@@ -415,7 +421,7 @@
 
 
 def make_runner(name: str, host: str, start: int | None) -> model.Runner:
-    """Returns a runner's entry."""
+    """Returns the registry entry of a runner."""
     return model.Runner(
         id=ids.EndpointId(name),
         service=SERVICE,
--- a/pollenfork/poison/tests/test_bounds.py
+++ b/pollenfork/poison/tests/test_bounds.py
@@ -1,7 +1,7 @@
-"""How soon a third end is known everywhere, added up from the constants.
+"""How soon all instances know of a third crash, computed from the constants.
 
-The promise allows sends for 3 s after the third end. The table of these sums is
-in docs/design/poison.md.
+Sends are allowed for 3 s after the third crash. docs/design/poison.md has the
+table of these sums.
 """
 
 import pathlib
@@ -13,23 +13,24 @@
 from pollenfork.poison.tests import doc_tables
 
 WINDOW_S = 3.0
-# A way of a datagram, and a connection that is refused.
-WAY_S = 0.02
-# Three listeners each reach 195 instances in four ways, with those who told.
-WAYS = 4
+# The latency of a datagram, and the time until a connection is refused.
+HOP_S = 0.02
+# With three receivers each, 195 instances are reached in four hops, the senders
+# included.
+HOPS = 4
 PAGE = pathlib.Path(__file__).parents[3] / "docs" / "design" / "poison.md"
 
-PROOF_S = WAY_S
-CHECK_S = WAY_S
+PROOF_S = HOP_S
+CHECK_S = HOP_S
 SUMS = {
-    "no loss": PROOF_S + WAYS * WAY_S + CHECK_S,
-    "first telling lost": (PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + CHECK_S),
-    "can't connect": PROOF_S + WAYS * WAY_S + detector._UNCONFIRMED_S,
+    "no loss": PROOF_S + HOPS * HOP_S + CHECK_S,
+    "first telling lost": (PROOF_S + HOPS * (HOP_S + core.PERIOD_S) + CHECK_S),
+    "can't connect": PROOF_S + HOPS * HOP_S + detector._UNCONFIRMED_S,
     "all news lost": (
-        PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + rumours._PAGE_S + CHECK_S
+        PROOF_S + HOPS * (HOP_S + core.PERIOD_S) + rumours._PAGE_S + CHECK_S
     ),
     "at one moment": crashes.CONCURRENT_WAIT_S,
-    "that starts": core.PERIOD_S + rumours._ASK_S + 2 * WAY_S + CHECK_S,
+    "that starts": core.PERIOD_S + rumours._ASK_S + 2 * HOP_S + CHECK_S,
 }
 
 
--- a/pollenfork/poison/tests/test_crashes.py
+++ b/pollenfork/poison/tests/test_crashes.py
@@ -1,47 +1,47 @@
-"""Which ends count, and how many of them follow each other."""
+"""Which crashes count, and how many of them are successive."""
 
 from pollenfork import ids
 from pollenfork.poison import crashes
 
 
-def make(*ends: crashes.Crash) -> crashes.CrashHistory:
-    case = crashes.CrashHistory(ids.RequestDigest(1))
-    for end in ends:
-        case.add(end, end.crashed_at)
-    return case
+def make(*found: crashes.Crash) -> crashes.CrashHistory:
+    history = crashes.CrashHistory(ids.RequestDigest(1))
+    for crash in found:
+        history.add(crash, crash.crashed_at)
+    return history
 
 
-# What was seen: a popular text was kept back for 0.1 s while a poison request
-# ended three runners. How it came about: three instances sent it to one of them
-# within a millisecond of its end, on connections that were closed already, and
-# each of these sends followed the one before. Cause: a send after the end of a
-# runner was taken for a new run there. Proof: the log line of its keeping back
-# named one place three times, with a send that ran 0 ms.
-def test_sends_to_a_runner_that_has_just_ended_are_no_further_ends() -> None:
+# Guards against a popular request being quarantined (for 0.1 s) while a poison
+# request crashes three runners. Three instances had sent it to one of them
+# within a millisecond of its crash, on connections that were already closed;
+# each send was taken for a new run there, with a crash of its own after 0 ms.
+def test_sends_to_a_runner_that_has_just_crashed_count_no_further_crash() -> (
+    None
+):
     first = crashes.Crash(7, 10.0, 10.05, 1)
     after = [
         crashes.Crash(7, 10.05, 10.05, 2),
         crashes.Crash(7, 10.051, 10.052, 3),
         crashes.Crash(7, 10.14, 10.15, 4),
     ]
-    case = make(first, *after)
-    assert case.crashes == [first]
+    history = make(first, *after)
+    assert history.crashes == [first]
     assert make(*after, first).crashes[0].runner_hash == 7
     assert len(make(*after, first).crashes) == 1
 
 
-def test_a_runner_that_is_back_at_its_place_may_end_once_more() -> None:
+def test_a_restarted_runner_may_crash_again() -> None:
     first = crashes.Crash(7, 10.0, 10.05, 1)
     again = crashes.Crash(7, 10.28, 10.31, 2)
     assert make(first, again).crashes == [first, again]
 
 
-def test_one_end_that_two_instances_saw_counts_once() -> None:
+def test_a_crash_that_two_instances_observe_counts_once() -> None:
     first = crashes.Crash(7, 10.0, 10.05, 1)
     same = crashes.Crash(7, 9.2, 10.051, 2)
     assert make(first, same).crashes == [first]
 
 
-def test_ends_of_what_ran_at_the_same_time_make_one_round() -> None:
-    ends = [crashes.Crash(n, 10.0, 10.1 + n / 100, n) for n in range(4)]
-    assert crashes.count_successive(ends) == 1
+def test_simultaneous_crashes_are_not_successive() -> None:
+    found = [crashes.Crash(n, 10.0, 10.1 + n / 100, n) for n in range(4)]
+    assert crashes.count_successive(found) == 1
--- a/pollenfork/poison/tests/test_detector.py
+++ b/pollenfork/poison/tests/test_detector.py
@@ -1,4 +1,4 @@
-"""What is seen of runners is bounded, and of no more weight than it has."""
+"""Broken connections take bounded memory, and count only near a crash."""
 
 from pollenfork import ids
 from pollenfork.fleet import registry
@@ -10,7 +10,7 @@
 
 
 def make(
-    ends: list[crashes.Crash],
+    found: list[crashes.Crash],
 ) -> tuple[detector.CrashDetector, registry.Registry]:
     runners = registry.Registry()
     runners.put(fleets.make_runner("r", "10.9.0.1", 1))
@@ -18,13 +18,13 @@
         runners,
         1,
         lambda runner, at: False,
-        lambda digest, end, now: ends.append(end),
+        lambda digest, crash, now: found.append(crash),
         lambda: 2,
     )
     return made, runners
 
 
-def test_a_runner_that_only_breaks_connections_takes_no_more_memory() -> None:
+def test_a_runner_that_only_breaks_connections_takes_bounded_memory() -> None:
     made, runners = make([])
     (runner,) = runners.list_all()
     for number in range(5_000):
@@ -33,11 +33,11 @@
     assert sum(map(len, made._broken.values())) <= 51
 
 
-def test_only_what_broke_shortly_before_an_end_broke_by_it() -> None:
-    ends: list[crashes.Crash] = []
-    made, runners = make(ends)
+def test_only_connections_that_broke_shortly_before_a_crash_count() -> None:
+    found: list[crashes.Crash] = []
+    made, runners = make(found)
     (runner,) = runners.list_all()
     made.record_broken_connection(DIGEST, runner, 9.0, 10.0)
     made.record_broken_connection(DIGEST, runner, 19.0, 20.0)
     made.record_ended(fleets.evidence.mark(runner), 20.1, "nobody_there")
-    assert [each.crashed_at for each in ends] == [20.0]
+    assert [each.crashed_at for each in found] == [20.0]
--- a/pollenfork/poison/tests/test_digests.py
+++ b/pollenfork/poison/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""The same request is known again; no other one passes for it."""
+"""Digests recognize the same request and tell it from all others."""
 
 from pollenfork import ids
 from pollenfork.poison import digests
@@ -7,12 +7,12 @@
 GIVEN = (ACCOUNT, b"POST", b"/p/1", b"text")
 
 
-def test_the_same_request_has_the_same_digest_in_every_process() -> None:
+def test_the_digest_of_a_request_is_the_same_in_every_process() -> None:
     assert digests.compute(*GIVEN) == digests.compute(*GIVEN)
     assert digests.compute(None, b"GET", b"/", b"") == 0x80621653CB764083
 
 
-def test_any_other_account_method_target_or_body_has_another_one() -> None:
+def test_another_account_method_target_or_body_changes_the_digest() -> None:
     others = [
         (None, b"POST", b"/p/1", b"text"),
         (ids.AccountId("b"), b"POST", b"/p/1", b"text"),
--- a/pollenfork/poison/tracker.py
+++ b/pollenfork/poison/tracker.py
@@ -147,7 +147,7 @@
         now: float,
         answered: bool = True,
     ) -> bool:
-        """Discards a request's crashes up to `at`; returns whether that was new.
+        """Discards the crashes up to `at`; returns whether that was new.
 
         Args:
             digest: The digest of the request.
