--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -59,7 +59,9 @@
     ),
     "early-refusals": (Switch(refusals, "find_longest", _do_nothing),),
     "news-of-caches": (Switch(cache_feed.CacheFeed, "check", _do_nothing),),
-    "shared-placements": (Switch(choice.Chooser, "take_placed", _give([])),),
+    "shared-placements": (
+        Switch(choice.Chooser, "take_placements", _give([])),
+    ),
     "homes-by-hashing": (Switch(offers, "_find_home", _do_nothing),),
     "copies-of-prompts": (Switch(copies, "find_sources", _do_nothing),),
     "weight-in-a-crowd": (Switch(offers, "_CROWDED_WEIGHT", 0.0),),
@@ -70,8 +72,10 @@
     "long-prompts-told-at-once": (
         Switch(peers.Peers, "tell_soon", _do_nothing),
     ),
-    "findings-of-others": (Switch(evidence.Evidence, "take_found", _give([])),),
-    "gossip-of-the-store": (Switch(gossip.Gossip, "tell", _give([])),),
+    "findings-of-others": (
+        Switch(evidence.Evidence, "take_findings", _give([])),
+    ),
+    "gossip-of-the-store": (Switch(gossip.Gossip, "tick", _give([])),),
     "room-in-kept-apart-slots": (Switch(offers, "_QUICK_SLOTS", _NEVER),),
     "pauses-after-failures": (Switch(choice, "_SHUNNED_S", 0.0),),
     "rate-of-failures": (Switch(choice, "_FAILING_S", 0.0),),
--- a/benchmarks/duties_cost.py
+++ b/benchmarks/duties_cost.py
@@ -69,7 +69,7 @@
     tally = messages.decode(data)
     assert isinstance(tally, messages.Tally)
     ledger.take(f"10.0.0.{number}", tally.start, tally.counted, now, now)
-    word = messages.HolderWord("zone-a", "10.0.0.1", 1, 0.0, now, now)
+    word = messages.HolderNotice("zone-a", "10.0.0.1", 1, 0.0, now, now)
     return messages.encode(word)
 
 
--- a/benchmarks/loads_cost.py
+++ b/benchmarks/loads_cost.py
@@ -27,7 +27,7 @@
     def __init__(self, rng: random.Random, runners: int) -> None:
         self._rng = rng
         self._runners = runners
-        self._loads: messages.Table = {}
+        self._loads: messages.LoadTable = {}
 
     def change(self) -> None:
         """Places or ends a request."""
@@ -38,39 +38,41 @@
             reading = self._rng.randrange(20_000)
             self._loads[runner] = messages.Load(1, reading)
 
-    def read_loads(self) -> messages.Table:
+    def read_loads(self) -> messages.LoadTable:
         return dict(self._loads)
 
-    def take_placed(self) -> list[messages.Placed]:
+    def take_placements(self) -> list[messages.Placement]:
         return []
 
-    def read_proof(self, now: float) -> messages.Proof | None:
-        return messages.Proof(1, 1, 0.5)
+    def read_store_status(self, now: float) -> messages.StoreStatus | None:
+        return messages.StoreStatus(1, 1, 0.5)
 
-    def list_placed(self) -> list[messages.Placed]:
+    def list_placements(self) -> list[messages.Placement]:
         return []
 
-    def list_placed_here(self) -> list[messages.Placed]:
+    def list_local_placements(self) -> list[messages.Placement]:
         return []
 
-    def note_placed(self, placed: object) -> None:
+    def record_placements(self, placed: object) -> None:
         """Takes nothing."""
 
-    def note_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+    def record_store_status(
+        self, proof: messages.StoreStatus, moment: float, teller: str
     ) -> None:
         """Takes nothing."""
 
-    def note_answered(self, moment: float) -> None:
+    def record_store_answer(self, moment: float) -> None:
         """Leaves it out."""
 
-    def note_versions(self, proof: messages.Proof, teller: str) -> None:
+    def record_store_versions(
+        self, proof: messages.StoreStatus, teller: str
+    ) -> None:
         """Takes nothing."""
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         return []
 
-    def note_found(self, finding: messages.Finding, now: float) -> None:
+    def record_finding(self, finding: messages.Finding, now: float) -> None:
         """Takes nothing."""
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
@@ -82,12 +84,12 @@
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
         return [messages.Suspicions("")]
 
-    def note_suspicions(
+    def record_suspicions(
         self, told: messages.Suspicions, host: str, now: float
     ) -> None:
         """Takes nothing."""
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         """Takes nothing."""
 
 
@@ -142,7 +144,7 @@
         begun = time.process_time()
         message = messages.decode(data)
         assert message is not None
-        answers = self.exchanges[to].hear(message, sender, self._now)
+        answers = self.exchanges[to].receive(message, sender, self._now)
         self.seconds[to] += time.process_time() - begun
         for each in answers:
             self._deliver(to, each.to.host, messages.encode(each.message))
--- a/pollenfork/duties/tallies.py
+++ b/pollenfork/duties/tallies.py
@@ -53,14 +53,14 @@
         counts = self._counts.setdefault(self._windows.find(time), {})
         counts[account] = counts.get(account, 0) + 1
 
-    def list_all(self) -> tuple[loads.Counted, ...]:
+    def list_all(self) -> tuple[loads.WindowCounts, ...]:
         """Returns all counts."""
         return tuple(
-            loads.Counted(window, dict(counts))
+            loads.WindowCounts(window, dict(counts))
             for window, counts in sorted(self._counts.items())
         )
 
-    def list_untold(self, holder: str) -> tuple[loads.Counted, ...]:
+    def list_untold(self, holder: str) -> tuple[loads.WindowCounts, ...]:
         """Returns the windows of which a holder doesn't have all counts."""
         if holder != self._told_to[0]:
             self._told_to = holder, 0
@@ -72,7 +72,7 @@
         )
 
     def note_told(
-        self, windows: Iterable[loads.Counted], holder: str, start: int
+        self, windows: Iterable[loads.WindowCounts], holder: str, start: int
     ) -> None:
         """Takes that a holder has these counts.
 
@@ -122,7 +122,7 @@
         self,
         host: str,
         start: int,
-        told: Iterable[loads.Counted],
+        told: Iterable[loads.WindowCounts],
         through: float,
         now: float,
     ) -> None:
--- a/pollenfork/duties/tests/test_tallies.py
+++ b/pollenfork/duties/tests/test_tallies.py
@@ -15,8 +15,8 @@
     for moment in (100.0, 104.999, 105.0):
         counted.note(ACCOUNT, moment)
     assert counted.list_all() == (
-        loads.Counted(20, {ACCOUNT: 2}),
-        loads.Counted(21, {ACCOUNT: 1}),
+        loads.WindowCounts(20, {ACCOUNT: 2}),
+        loads.WindowCounts(21, {ACCOUNT: 1}),
     )
 
 
@@ -72,7 +72,7 @@
 
 def test_two_starts_of_an_instance_are_both_counted() -> None:
     ledger = tallies.Ledger(WINDOWS)
-    told = (loads.Counted(20, {ACCOUNT: 3}),)
+    told = (loads.WindowCounts(20, {ACCOUNT: 3}),)
     ledger.take("h", 1, told, 101.0, 1.0)
     ledger.take("h", 2, told, 104.0, 4.0)
     assert ledger.add_up(20) == {ACCOUNT: 6}
--- a/pollenfork/fleet/caches.py
+++ b/pollenfork/fleet/caches.py
@@ -37,7 +37,7 @@
         _renew(kept, part, _REMEMBERED)
         _renew(self._shared, part, _SHARED_REMEMBERED)
 
-    def take(self, placed: Iterable[loads.Placed]) -> None:
+    def take(self, placed: Iterable[loads.Placement]) -> None:
         """Takes what is said of what runners keep or have lost."""
         for each in placed:
             if each.kept:
@@ -47,21 +47,21 @@
 
     def take_news(
         self, runner: int, news: messages.CacheNews
-    ) -> list[loads.Placed]:
+    ) -> list[loads.Placement]:
         """Takes what a runner itself says that it keeps.
 
         Returns:
             What of it wasn't believed, for others that believe the same.
         """
         told = [
-            loads.Placed(loads.hash_name(each.part), runner, each.kept)
+            loads.Placement(loads.hash_name(each.part), runner, each.kept)
             for each in news.changes
         ]
         if news.whole:
             present = {each.part for each in told}
             believed = self._parts.get(runner, ())
             told += [
-                loads.Placed(part, runner, kept=False)
+                loads.Placement(part, runner, kept=False)
                 for part in believed
                 if part not in present
             ]
@@ -71,14 +71,14 @@
 
     def list_kept(
         self, runners: Collection[int] | None = None
-    ) -> list[loads.Placed]:
+    ) -> list[loads.Placement]:
         """Returns what is believed kept, the longest unused first.
 
         Args:
             runners: Those asked about; None: all.
         """
         return [
-            loads.Placed(part, runner)
+            loads.Placement(part, runner)
             for runner, kept in self._parts.items()
             if runners is None or runner in runners
             for part in kept
@@ -112,7 +112,7 @@
             del self._parts[runner]
         self._unknown = unknown
 
-    def _is_news(self, told: loads.Placed, whole: bool) -> bool:
+    def _is_news(self, told: loads.Placement, whole: bool) -> bool:
         believed = told.part in self._parts.get(told.runner, ())
         if not told.kept:
             return believed
--- a/pollenfork/fleet/choice.py
+++ b/pollenfork/fleet/choice.py
@@ -69,7 +69,7 @@
         self._registry = runners
         self._rng = rng
         self._standings: dict[ids.EndpointId, standing.Standing] = {}
-        self._placed: list[loads.Placed] = []
+        self._placed: list[loads.Placement] = []
         self._on_long: list[Callable[[], None]] = []
         self._leavers: dict[
             ids.EndpointId, tuple[model.Runner, standing.Standing]
@@ -171,7 +171,7 @@
             places = min(runner.slots, max(1, active))
             use.places += places if limited else runner.slots
             use.active += active
-            use.reading += seen.reading + others.reading
+            use.reading += seen.reading + others.unread_tokens
         return use
 
     def settle(self, grant: outcomes.Grant) -> None:
@@ -180,7 +180,7 @@
         grant.standing.active -= 1
         grant.standing.quick -= grant.quick
 
-    def list_loads(self) -> loads.Table:
+    def list_loads(self) -> loads.LoadTable:
         """Returns what this instance has under way at each runner."""
         return {
             seen.mark: loads.Load(seen.active, int(seen.reading), seen.quick)
@@ -211,12 +211,14 @@
         """Forgets what others tell of runners that nobody knows here."""
         self.caches.retain(self.list_marks())
 
-    def take_placed(self) -> list[loads.Placed]:
+    def take_placements(self) -> list[loads.Placement]:
         """Returns what was placed since the last call."""
         placed, self._placed = self._placed, []
         return placed
 
-    def list_kept_in(self, data_centre: ids.DataCentre) -> list[loads.Placed]:
+    def list_kept_in(
+        self, data_centre: ids.DataCentre
+    ) -> list[loads.Placement]:
         """Returns what runners of a data centre are believed to keep."""
         near = {
             self._mark(runner)
@@ -317,10 +319,10 @@
         unread = self.caches.count_unread(seen.mark, demand.shared)
         if active >= runner.slots:
             cost += _FULL_S
-        reading = seen.reading + others.reading
+        reading = seen.reading + others.unread_tokens
         cost += (reading + demand.own_tokens) / offers.READ_RATE
         cost += active * _ACTIVE_S
-        quick = seen.quick + others.quick
+        quick = seen.quick + others.top_tier
         return offers.Offer(
             runner=runner,
             standing=seen,
@@ -361,7 +363,7 @@
             mark = caches.hash_part(part)
             self.caches.note(runner, mark)
             if grant.unread:
-                self._placed.append(loads.Placed(mark, runner))
+                self._placed.append(loads.Placement(mark, runner))
         if grant.reading > _LONG_TOKENS:
             for tell in self._on_long:
                 tell()
--- a/pollenfork/fleet/evidence.py
+++ b/pollenfork/fleet/evidence.py
@@ -29,7 +29,7 @@
 # stay. A busy instance makes a few a second while runners are down.
 _FOUND_LIMIT = 200
 
-Sign = messages.Sign
+Symptom = messages.Symptom
 
 
 class Evidence:
@@ -56,7 +56,7 @@
         )
         # Who found a runner silent, and when, by its place.
         self._silent: dict[int, dict[messages.Finding, float]] = {}
-        self.counts: collections.Counter[Sign] = collections.Counter()
+        self.counts: collections.Counter[Symptom] = collections.Counter()
         self._on_ended: list[Callable[[int, bool], None]] = []
 
     def when_ended(self, call: Callable[[int, bool], None]) -> None:
@@ -67,15 +67,15 @@
         """
         self._on_ended.append(call)
 
-    def note(self, runner: model.Runner, sign: Sign) -> None:
+    def note(self, runner: model.Runner, sign: Symptom) -> None:
         """Takes what this instance has found."""
         place = mark(runner)
         self._found.append(messages.Finding(place, sign))
         self._tell_ended(place, sign, here=True)
-        if sign is Sign.DISPLACED:
+        if sign is Symptom.DISPLACED:
             self._find_standing(runner.id).displaced_from = runner.address
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         """Returns what this instance has found since the last call."""
         found = list(self._found)
         self._found.clear()
@@ -88,15 +88,15 @@
             finding: What, and how long ago.
             now: Monotonic seconds.
         """
-        self._tell_ended(finding.place, finding.sign, here=False)
-        runner = self._find_runner(finding.place)
+        self._tell_ended(finding.runner_hash, finding.sign, here=False)
+        runner = self._find_runner(finding.runner_hash)
         if runner is None:
             return
-        if finding.sign is Sign.SILENT and not self._is_agreed(finding, now):
+        if finding.sign is Symptom.SILENT and not self._is_agreed(finding, now):
             return
         seen = self._find_standing(runner.id)
         before = seen.shunned_until, seen.displaced_from
-        if finding.sign is Sign.DISPLACED:
+        if finding.sign is Symptom.DISPLACED:
             seen.displaced_from = runner.address
         else:
             until = now - finding.age_s + _PAUSE_S
@@ -112,8 +112,8 @@
             finding.age_s * 1000,
         )
 
-    def _tell_ended(self, place: int, sign: Sign, here: bool) -> None:
-        if sign is not Sign.SILENT:
+    def _tell_ended(self, place: int, sign: Symptom, here: bool) -> None:
+        if sign is not Symptom.SILENT:
             for call in self._on_ended:
                 call(place, here)
 
@@ -125,9 +125,9 @@
         doesn't speak for all.
         """
         self._forget_old(now)
-        witnesses = self._silent.setdefault(finding.place, {})
+        witnesses = self._silent.setdefault(finding.runner_hash, {})
         for known in [
-            each for each in witnesses if each.witness == finding.witness
+            each for each in witnesses if each.observer == finding.observer
         ]:
             del witnesses[known]
         witnesses[finding] = now - finding.age_s
--- a/pollenfork/fleet/tests/test_caches.py
+++ b/pollenfork/fleet/tests/test_caches.py
@@ -44,8 +44,8 @@
     assert count_unread(chooser) == 0
     assert chooser.take_news(RUNNER, make_news((b"b", False))) == 1
     assert count_unread(chooser) == 3800
-    assert chooser.take_placed() == [
-        loads.Placed(loads.hash_name(b"b"), MARK, kept=False)
+    assert chooser.take_placements() == [
+        loads.Placement(loads.hash_name(b"b"), MARK, kept=False)
     ]
 
 
@@ -53,13 +53,13 @@
     chooser = make_chooser(*SHARED)
     assert chooser.take_news(RUNNER, make_news((b"a", True))) == 0
     assert chooser.take_news(RUNNER, make_news((b"never", False))) == 0
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
 
 
 def test_a_part_of_one_request_alone_is_told_to_nobody() -> None:
     chooser = make_chooser(*SHARED)
     assert chooser.take_news(RUNNER, make_news((b"own", True))) == 0
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
 
 
 def test_a_late_loss_of_a_part_read_again_since_is_corrected() -> None:
@@ -122,7 +122,7 @@
     chooser = make_chooser(*SHARED)
     gone = loads.hash_name(b"gone")
     chooser.sweep()
-    chooser.caches.take([loads.Placed(1, gone)])
+    chooser.caches.take([loads.Placement(1, gone)])
     # A placement may be told before this instance knows of the runner.
     chooser.sweep()
     assert gone in {each.runner for each in chooser.caches.list_kept()}
@@ -133,5 +133,5 @@
 def test_others_that_are_told_believe_the_same() -> None:
     here, there = make_chooser(*SHARED), make_chooser(*SHARED)
     here.take_news(RUNNER, make_news((b"a", False)))
-    there.caches.take(here.take_placed())
+    there.caches.take(here.take_placements())
     assert count_unread(there) == 6300
--- a/pollenfork/fleet/tests/test_evidence.py
+++ b/pollenfork/fleet/tests/test_evidence.py
@@ -12,11 +12,11 @@
 from pollenfork.fleet import offers
 from pollenfork.fleet import registry
 from pollenfork.fleet.tests import test_registry
+from pollenfork.loads import dissemination
 from pollenfork.loads import members
 from pollenfork.loads import messages as loads
-from pollenfork.loads import rumours
 
-Sign = loads.Sign
+Sign = loads.Symptom
 HERE = ids.DataCentre("a")
 SERVICE = ids.ServiceName("s")
 NOW = 100.0
@@ -70,10 +70,10 @@
     runner = bench.runners.find(ids.EndpointId("r1"))
     bench.evidence.note(runner, Sign.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
-    assert [each.sign for each in bench.evidence.take_found()] == [
+    assert [each.sign for each in bench.evidence.take_findings()] == [
         Sign.DISPLACED
     ]
-    assert bench.evidence.take_found() == []
+    assert bench.evidence.take_findings() == []
 
 
 def test_a_runner_that_has_moved_is_not_meant_by_what_was_found(bench) -> None:
@@ -130,7 +130,7 @@
     runner = bench.runners.find(ids.EndpointId("r1"))
     for _ in range(10_000):
         bench.evidence.note(runner, Sign.REFUSED)
-    assert len(bench.evidence.take_found()) <= 200
+    assert len(bench.evidence.take_findings()) <= 200
 
 
 class _Teller:
@@ -139,13 +139,13 @@
     def __init__(self, found: evidence.Evidence) -> None:
         self._evidence = found
 
-    def read_proof(self, now: float) -> None:
+    def read_store_status(self, now: float) -> None:
         return None
 
-    def take_found(self) -> list[loads.Finding]:
-        return self._evidence.take_found()
+    def take_findings(self) -> list[loads.Finding]:
+        return self._evidence.take_findings()
 
-    def note_found(self, finding: loads.Finding, now: float) -> None:
+    def record_finding(self, finding: loads.Finding, now: float) -> None:
         self._evidence.take(finding, now)
 
     def take_suspicions(self, now):
@@ -157,10 +157,10 @@
     def list_suspicions(self, now):
         return [loads.Suspicions("")]
 
-    def note_suspicions(self, told, host, now):
+    def record_suspicions(self, told, host, now):
         pass
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         """Takes nothing."""
 
 
@@ -180,7 +180,7 @@
             self.chooser.find_standing,
             ids.DataCentre(everyone[number].data_centre),
         )
-        self.rumours = rumours.Rumours(
+        self.rumours = dissemination.Disseminator(
             everyone[number], roster, _Teller(self.evidence)
         )
 
@@ -223,7 +223,7 @@
             for host, message in each.rumours.tick(now)
         ]
         for host, message in told:
-            instances[hosts[host]].rumours.hear(message, "", now)
+            instances[hosts[host]].rumours.receive(message, "", now)
     return wasted
 
 
--- a/pollenfork/fleet/tests/test_limits.py
+++ b/pollenfork/fleet/tests/test_limits.py
@@ -66,9 +66,9 @@
     demand = test_choice.ask()
     grant = chooser.choose(demand, set(), 1.0)
     assert grant.limited
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
     chooser.confirm(grant, demand)
-    assert [each.runner for each in chooser.take_placed()] == [
+    assert [each.runner for each in chooser.take_placements()] == [
         grant.standing.mark
     ]
 
--- a/pollenfork/gateway/accounting.py
+++ b/pollenfork/gateway/accounting.py
@@ -62,7 +62,7 @@
         self._tallies = tallies.Tallies(self.windows)
         self._ledger = tallies.Ledger(self.windows)
         self._time = truetime.TrueTime(read_wall, loop.time())
-        self._telling: dict[float, tuple[loads.Counted, ...]] = {}
+        self._telling: dict[float, tuple[loads.WindowCounts, ...]] = {}
 
     def read_time(self) -> float:
         """Returns the true time in Unix seconds."""
@@ -117,7 +117,7 @@
         self._time.note_clock(host, tally.wall, now)
 
     def take_answer(
-        self, word: loads.HolderWord, host: str, now: float
+        self, word: loads.HolderNotice, host: str, now: float
     ) -> None:
         """Takes that a tally has arrived, and the holder's time."""
         counted = self._telling.pop(word.echo, None)
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -247,7 +247,7 @@
         joined.on_limits(self._tools.permits.hear)
         joined.when_ticked(self._tools.permits.tick)
         self._tools.chooser.when_long(joined.tell_soon)
-        self._tools.suspected.when_urgent(joined.tell_suspicions)
+        self._tools.suspected.when_urgent(joined.flush_suspicions)
         self._peers = joined
         if self._officer is not None:
             self._officer.join(joined)
--- a/pollenfork/gateway/attempt.py
+++ b/pollenfork/gateway/attempt.py
@@ -52,13 +52,13 @@
         return self.end is End.BROKEN and self.breach in cuts
 
     @property
-    def sign(self) -> loads.Sign | None:
+    def sign(self) -> loads.Symptom | None:
         """What it shows of the runner's address, for other instances too."""
         if self.end is End.DISPLACED:
-            return loads.Sign.DISPLACED
+            return loads.Symptom.DISPLACED
         if self.end is not End.UNSENT:
             return None
-        return loads.Sign.REFUSED if self.nobody else loads.Sign.SILENT
+        return loads.Symptom.REFUSED if self.nobody else loads.Symptom.SILENT
 
 
 class Relay(msgspec.Struct):
--- a/pollenfork/gateway/endings.py
+++ b/pollenfork/gateway/endings.py
@@ -105,7 +105,7 @@
             opened = await self._pool.open(runner, pool.CONNECT_S)
             if isinstance(opened, result.Err):
                 if opened.err_value.nobody:
-                    self._evidence.note(runner, loads.Sign.REFUSED)
+                    self._evidence.note(runner, loads.Symptom.REFUSED)
                 return
             reached_at = asyncio.get_running_loop().time()
             begun.met.set_result(None)
--- a/pollenfork/gateway/knowledge.py
+++ b/pollenfork/gateway/knowledge.py
@@ -77,7 +77,7 @@
         self.runners.keep_until(until)
         _LOG.info("event=outage_over kept_for_ms=%d", (until - moment) * 1000)
 
-    def write_proof(self, now: float) -> messages.Proof | None:
+    def write_proof(self, now: float) -> messages.StoreStatus | None:
         """Returns what this instance knows and up to when that was proven.
 
         The proof may be another's. Each that passes it on counts from before
@@ -86,7 +86,7 @@
         age_s = self.freshness.age(now)
         if age_s is None:
             return None
-        return messages.Proof(
+        return messages.StoreStatus(
             self.configuration_news.last_change,
             self.runners_news.last_change,
             age_s,
@@ -94,7 +94,7 @@
         )
 
     def take_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+        self, proof: messages.StoreStatus, moment: float, teller: str
     ) -> None:
         """Takes what a relay has read and up to when it was surely current.
 
@@ -110,7 +110,7 @@
         if proof.configuration <= self.configuration_news.through:
             self.freshness.vouch(moment)
 
-    def take_versions(self, proof: messages.Proof, teller: str) -> None:
+    def take_versions(self, proof: messages.StoreStatus, teller: str) -> None:
         """Takes what another instance has read, whenever that was."""
         self.configuration_news.take_word(proof.configuration, teller)
         self.runners_news.take_word(proof.runners, teller)
--- a/pollenfork/gateway/officer.py
+++ b/pollenfork/gateway/officer.py
@@ -138,10 +138,12 @@
         shown.set_count("pollenfork_duty_claims_total", self.office.claims)
         self._calls.show(shown)
 
-    def hear(self, message: loads.Tally | loads.HolderWord, host: str) -> None:
+    def hear(
+        self, message: loads.Tally | loads.HolderNotice, host: str
+    ) -> None:
         """Takes what another instance tells."""
         now = self._loop.time()
-        if isinstance(message, loads.HolderWord):
+        if isinstance(message, loads.HolderNotice):
             self.accounts.take_answer(message, host, now)
             self._take_word(message, host, now)
             return
@@ -262,7 +264,7 @@
         age_s = 0.0 if holds else now - self._heard_at
         known = self._holder != self._host and age_s < _SILENT_S
         holder = self._host if holds else self._holder if known else ""
-        word = loads.HolderWord(
+        word = loads.HolderNotice(
             self._data_centre,
             holder,
             self.accounts.start,
@@ -275,14 +277,16 @@
     def _announce(self, hosts: list[str]) -> None:
         """Says that this instance acts for all, or that it can't for long."""
         holder = "" if self.office.struggles else self._host
-        word = loads.HolderWord(
+        word = loads.HolderNotice(
             self._data_centre, holder, self.accounts.start, 0.0
         )
         for host in hosts:
             if self._others is not None and host != self._host:
                 self._others.tell(host, word)
 
-    def _take_word(self, word: loads.HolderWord, host: str, now: float) -> None:
+    def _take_word(
+        self, word: loads.HolderNotice, host: str, now: float
+    ) -> None:
         heard_at = now - max(0.0, word.age_s)
         if self.office.holds(now):
             return
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -19,7 +19,7 @@
 
 _NONE = messages.Load()
 
-DutyMessage = messages.Tally | messages.HolderWord
+DutyMessage = messages.Tally | messages.HolderNotice
 
 
 class Here:
@@ -39,49 +39,51 @@
         self._evidence = found
         self._data_centre = data_centre
 
-    def read_loads(self) -> messages.Table:
+    def read_loads(self) -> messages.LoadTable:
         """Returns what it has under way."""
         return self._chooser.list_loads()
 
-    def take_placed(self) -> list[messages.Placed]:
+    def take_placements(self) -> list[messages.Placement]:
         """Returns what it has placed since the last call."""
-        return self._chooser.take_placed()
+        return self._chooser.take_placements()
 
-    def note_placed(self, placed: Iterable[messages.Placed]) -> None:
+    def record_placements(self, placed: Iterable[messages.Placement]) -> None:
         """Takes what others have placed."""
         self._chooser.caches.take(placed)
 
-    def list_placed(self) -> list[messages.Placed]:
+    def list_placements(self) -> list[messages.Placement]:
         """Returns all that runners are believed to keep."""
         return self._chooser.caches.list_kept()
 
-    def list_placed_here(self) -> list[messages.Placed]:
+    def list_local_placements(self) -> list[messages.Placement]:
         """Returns what runners of this data centre are believed to keep."""
         return self._chooser.list_kept_in(self._data_centre)
 
-    def read_proof(self, now: float) -> messages.Proof | None:
+    def read_store_status(self, now: float) -> messages.StoreStatus | None:
         """Returns what it knows of the store, and how old that may be."""
         return self._known.write_proof(now)
 
-    def note_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+    def record_store_status(
+        self, proof: messages.StoreStatus, moment: float, teller: str
     ) -> None:
         """Takes what a relay knows."""
         self._known.take_proof(proof, moment, teller)
 
-    def note_answered(self, moment: float) -> None:
+    def record_store_answer(self, moment: float) -> None:
         """Takes about when the store answered another instance."""
         self._known.note_answer(moment)
 
-    def note_versions(self, proof: messages.Proof, teller: str) -> None:
+    def record_store_versions(
+        self, proof: messages.StoreStatus, teller: str
+    ) -> None:
         """Takes what one that reports here has read."""
         self._known.take_versions(proof, teller)
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         """Returns what it has found out of runners since the last call."""
-        return self._evidence.take_found()
+        return self._evidence.take_findings()
 
-    def note_found(self, finding: messages.Finding, now: float) -> None:
+    def record_finding(self, finding: messages.Finding, now: float) -> None:
         """Takes what another one has found out of a runner."""
         self._evidence.take(finding, now)
 
@@ -97,13 +99,13 @@
         """Returns all that it knows of them, by datagram."""
         return self._suspected.list_all(now)
 
-    def note_suspicions(
+    def record_suspicions(
         self, told: messages.Suspicions, host: str, now: float
     ) -> None:
         """Takes what another one knows of them."""
         self._suspected.note_told(told, host, now)
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         """Takes how many instances are known, this one included."""
         self._suspected.note_others(count - 1)
 
@@ -128,7 +130,7 @@
         self._exchange = core.Exchange(me, told.data_centre, told.seeds, here)
         self._me = me
         self._transport: asyncio.DatagramTransport | None = None
-        self._others: messages.Table = {}
+        self._others: messages.LoadTable = {}
         self._heard_at: float | None = None
         self._instances = 1
         self._relay: str | None = me.host
@@ -168,9 +170,9 @@
         """Returns all hosts known, or those of a data centre."""
         return self._exchange.list_hosts(data_centre)
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell news."""
-        return self._exchange.pick_round()
+        return self._exchange.pick_fanout()
 
     def pick_pair(self) -> list[str]:
         """Returns a host of this data centre and one elsewhere."""
@@ -192,21 +194,21 @@
             _LOG.warning("event=datagram_unreadable host=%s", address[0])
             return
         now = self._loop.time()
-        if isinstance(message, messages.Tally | messages.HolderWord):
-            self._exchange.note_sign(message.data_centre, address[0], now)
+        if isinstance(message, messages.Tally | messages.HolderNotice):
+            self._exchange.record_contact(message.data_centre, address[0], now)
             for take in self._on_duty:
                 take(message, address[0])
             return
         if isinstance(message, limit_messages.LimitMessage):
-            self._exchange.note_sign(message.data_centre, address[0], now)
+            self._exchange.record_contact(message.data_centre, address[0], now)
             for take_limits in self._on_limits:
                 take_limits(message, address[0])
             return
-        self._send(self._exchange.hear(message, address[0], now))
-        if isinstance(message, messages.Others):
+        self._send(self._exchange.receive(message, address[0], now))
+        if isinstance(message, messages.OtherLoads):
             self._read_exchange(now)
         elif (
-            isinstance(message, messages.Report | messages.Sum)
+            isinstance(message, messages.Report | messages.DataCentreLoads)
             and message.urgent
         ):
             self._hurry()
@@ -227,15 +229,15 @@
         self._urgent = True
         self._hurry()
 
-    def tell_suspicions(self) -> None:
+    def flush_suspicions(self) -> None:
         """Tells at once which requests runners have ended under."""
-        self._send(self._exchange.tell_suspicions(self._loop.time()))
+        self._send(self._exchange.flush_suspicions(self._loop.time()))
 
     def _hurry(self) -> None:
         """Begins a round as soon as their spacing allows."""
         if self._hurrying is not None:
             return
-        due_at = self._ticked_at + self._exchange.spacing_s
+        due_at = self._ticked_at + self._exchange.min_interval_s
         self._hurrying = self._loop.call_at(due_at, self._tick)
 
     def _tick(self) -> None:
@@ -257,9 +259,9 @@
         """Whether this instance relays for its data centre."""
         return self._relay == self._me.host
 
-    def find_prover(self, now: float) -> messages.Address | None:
+    def find_store_poller(self, now: float) -> messages.Address | None:
         """Returns another instance that proves the configuration for all."""
-        return self.locate(self._exchange.find_prover(now))
+        return self.locate(self._exchange.find_store_poller(now))
 
     @property
     def instances(self) -> int:
@@ -272,7 +274,7 @@
 
     def pass_over(self, host: str) -> None:
         """Takes that an instance doesn't answer: another one relays."""
-        self._exchange.pass_over(host, self._loop.time())
+        self._exchange.mark_unresponsive(host, self._loop.time())
 
     def locate(self, host: str | None) -> messages.Address | None:
         """Returns where another instance listens; None for this one."""
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -31,7 +31,7 @@
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
         """Returns all hosts known, or those of a data centre."""
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell news."""
 
     def pick_pair(self) -> list[str]:
@@ -53,7 +53,7 @@
         """Returns this one's host."""
         return [self._host]
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns none."""
         return []
 
@@ -212,9 +212,9 @@
         """Returns all hosts known, or those of a data centre."""
         return self._others.list_hosts(data_centre)
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell an update."""
-        return self._others.pick_round()
+        return self._others.pick_fanout()
 
     def pick_pair(self) -> list[str]:
         """Returns the next host here and the next one elsewhere."""
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -103,7 +103,7 @@
             if silent is not None:
                 others.pass_over(silent)
                 known.pass_over(silent)
-        prover = others.find_prover(now)
+        prover = others.find_store_poller(now)
         self._guide(others, now)
         proven = prover is not None and known.is_proven_by_others(now)
         self._configuration.set_wait(
--- a/pollenfork/gateway/tests/test_budget.py
+++ b/pollenfork/gateway/tests/test_budget.py
@@ -13,7 +13,7 @@
 from pollenfork.gateway import news
 from pollenfork.gateway import sources
 from pollenfork.loads import core
-from pollenfork.loads import lines
+from pollenfork.loads import links
 
 # The strictest deployment allows this from the store's acknowledgement of a
 # leaving to the last request sent to the runner, in seconds.
@@ -42,7 +42,7 @@
 _SUMS = {
     "store well, relay": _FROM_STORE_S,
     "store well, reporter": _FROM_STORE_S + _TO_REPORTER_S,
-    "one datagram lost": _FROM_STORE_S + _TO_REPORTER_S + lines._REPEAT_S,
+    "one datagram lost": _FROM_STORE_S + _TO_REPORTER_S + links._REPEAT_S,
     "relay turned away, its reporter": (
         _FROM_STORE_S + _TO_TURNED_AWAY_S + _TO_REPORTER_S
     ),
--- a/pollenfork/gateway/tests/test_knowledge.py
+++ b/pollenfork/gateway/tests/test_knowledge.py
@@ -124,14 +124,14 @@
 def test_a_relays_word_counts_only_for_what_is_known_here() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.Proof(11, 0, 0.2), 100.0, "a")
+    known.take_proof(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
     assert not known.freshness.trusts_keys(100.0)
     assert (
         known.configuration_news.is_newer_elsewhere
         and not known.runners_news.is_newer_elsewhere
     )
     configure(known, 6, 11)
-    known.take_proof(messages.Proof(11, 0, 0.2), 100.0, "a")
+    known.take_proof(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
     assert not known.configuration_news.is_newer_elsewhere
     assert known.follows_relay(101.4)
@@ -141,14 +141,14 @@
 def test_a_relay_that_knows_less_is_still_right_about_the_past() -> None:
     known = make_known()
     configure(known, 6, 11)
-    known.take_proof(messages.Proof(10, 0, 0.2), 100.0, "a")
+    known.take_proof(messages.StoreStatus(10, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
 
 
 def test_news_that_a_relay_has_and_that_does_not_come_is_noticed() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.Proof(10, 30, 0.0), 100.0, "a")
+    known.take_proof(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
     assert not known.configuration_news.is_behind(100.0)
     assert not known.runners_news.is_behind(100.0)
     assert known.runners_news.is_behind(100.6)
@@ -163,20 +163,20 @@
     configure(known, 5, 10)
     now = 100.0
     while now < 100.4:
-        known.take_proof(messages.Proof(10, 30, 0.0), now, "a")
-        known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
+        known.take_proof(messages.StoreStatus(10, 30, 0.0), now, "a")
+        known.take_proof(messages.StoreStatus(10, 20, 0.0), now, "b")
         lacking = known.runners_news.lacks(now)
         now += 0.05
     assert lacking and known.runners_news.teller == "a"
     known.take_runners(catalogue.Changes((), 30), now)
-    known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
+    known.take_proof(messages.StoreStatus(10, 20, 0.0), now, "b")
     assert not known.runners_news.is_newer_elsewhere
 
 
 def test_versions_alone_prove_no_moment() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_versions(messages.Proof(12, 30, 0.0), "c")
+    known.take_versions(messages.StoreStatus(12, 30, 0.0), "c")
     assert known.configuration_news.is_newer_elsewhere
     assert known.configuration_news.teller == "c"
     assert not known.follows_relay(100.0)
@@ -202,7 +202,7 @@
         configure(known, 5, 10)
     assert second.write_proof(100.0) is None
     first.note_current(99.0)
-    assert first.write_proof(100.5) == messages.Proof(10, 0, 1.5)
+    assert first.write_proof(100.5) == messages.StoreStatus(10, 0, 1.5)
     # Round in a circle, each telling 0.1 s after it had sent its own word.
     now = 100.5
     for _ in range(20):
@@ -219,7 +219,7 @@
     known = make_known()
     configure(known, 5, 10)
     assert not known.is_proven_by_others(100.0)
-    known.take_proof(messages.Proof(10, 0, 0.0), 100.0, "a")
+    known.take_proof(messages.StoreStatus(10, 0, 0.0), 100.0, "a")
     assert known.is_proven_by_others(100.9)
     assert not known.is_proven_by_others(101.1)
 
@@ -259,7 +259,7 @@
     know_runner(known, 100.0)
     known.note_failure(104.6)
     # Another instance was answered first.
-    known.take_proof(messages.Proof(10, 13, 0.2), 105.0, "a")
+    known.take_proof(messages.StoreStatus(10, 13, 0.2), 105.0, "a")
     remove_runner(known, 105.2)
     known.expire_runners(106.9)
     assert list_runners(known) == ["r"]
@@ -273,7 +273,7 @@
     for step in range(1, 20):
         moment = 100.0 + step * 0.5
         known.note_failure(moment)
-        known.take_proof(messages.Proof(10, 12, 0.5), moment - 0.5, "a")
+        known.take_proof(messages.StoreStatus(10, 12, 0.5), moment - 0.5, "a")
     known.note_answer(110.0)
     remove_runner(known, 110.0)
     assert list_runners(known) == []
@@ -282,7 +282,7 @@
 def test_what_is_lacking_is_lacking_until_it_comes() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.Proof(10, 30, 0.0), 100.0, "a")
+    known.take_proof(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
     lacking = []
     for step in range(30):
         now = 100.0 + step * 0.05
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -105,7 +105,7 @@
 
     def hear_proof(self, news: int, age_s: float = 0.1) -> None:
         """Hears from a relay elsewhere, which the store answers."""
-        proof = loads.Proof(1, news, age_s)
+        proof = loads.StoreStatus(1, news, age_s)
         self.known.take_proof(proof, self.loop.time() - age_s, "elsewhere")
 
     async def run_until(self, holds, each=lambda: None) -> None:
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -37,7 +37,7 @@
     def find_relay(self, now: float) -> settings.Address | None:
         return self.relay
 
-    def find_prover(self, now: float) -> settings.Address | None:
+    def find_store_poller(self, now: float) -> settings.Address | None:
         return self.prover
 
     def pass_over(self, host: str) -> None:
@@ -64,7 +64,7 @@
     def hear(
         self, news: int, age_s: float = 0.1, teller: str = "teller"
     ) -> None:
-        proof = loads.Proof(news, news, age_s)
+        proof = loads.StoreStatus(news, news, age_s)
         self.known.take_proof(proof, self.loop.time() - age_s, teller)
 
     async def choose_until(self, holds, limit_s: float = 5.0) -> float:
--- a/pollenfork/loads/core.py
+++ b/pollenfork/loads/core.py
@@ -10,13 +10,13 @@
 import collections
 from collections.abc import Iterable
 
+from pollenfork.loads import discovery
+from pollenfork.loads import dissemination
 from pollenfork.loads import edges
-from pollenfork.loads import greetings
-from pollenfork.loads import lines
+from pollenfork.loads import links
 from pollenfork.loads import members
 from pollenfork.loads import messages
 from pollenfork.loads import proofs
-from pollenfork.loads import rumours
 
 # How often small changes of loads are told, in seconds.
 PERIOD_S = 0.05
@@ -52,17 +52,19 @@
         self._instance = instance
         member = messages.Member(me.host, data_centre)
         self._roster = members.Roster(member)
-        self._rumours = rumours.Rumours(member, self._roster, instance)
-        self._greetings = greetings.Greetings(
+        self._rumours = dissemination.Disseminator(
+            member, self._roster, instance
+        )
+        self._greetings = discovery.Discovery(
             self._roster, data_centre, _EXPIRY_S
         )
         self.set_seeds(seeds)
-        self._own: messages.Table = {}
-        self._reports: dict[str, lines.Heard] = {}
-        self._sums: dict[str, lines.Heard] = {}
-        self._others = lines.Heard({}, -_EXPIRY_S)
+        self._own: messages.LoadTable = {}
+        self._reports: dict[str, links.ReceivedLoads] = {}
+        self._sums: dict[str, links.ReceivedLoads] = {}
+        self._others = links.ReceivedLoads({}, -_EXPIRY_S)
         self._others_teller = ""
-        self._lines: dict[str, lines.Line] = collections.defaultdict(lines.Line)
+        self._lines: dict[str, links.Link] = collections.defaultdict(links.Link)
         self._members_at = 0.0
         self._urgent = False
         self._round_at = 0.0
@@ -85,11 +87,11 @@
         """Returns whether this instance relays for its data centre."""
         return self.find_relay(now) == self._me.host
 
-    def pass_over(self, host: str, now: float) -> None:
+    def mark_unresponsive(self, host: str, now: float) -> None:
         """Takes that an instance doesn't answer a call."""
-        self._roster.pass_over(host, now)
+        self._roster.mark_unresponsive(host, now)
 
-    def find_prover(self, now: float) -> str | None:
+    def find_store_poller(self, now: float) -> str | None:
         """Returns the host that proves the configuration for all.
 
         One relay is enough, and all choose the same while they know of each
@@ -109,7 +111,7 @@
         ranked = sorted(
             hosts, key=lambda host: messages.hash_name(host.encode())
         )
-        first = self.find_prover(now)
+        first = self.find_store_poller(now)
         if first is None:
             return ranked
         return [first, *(host for host in ranked if host != first)]
@@ -121,9 +123,9 @@
         known = self._roster.list_hosts(True) + self._roster.list_hosts(False)
         return [self._me.host, *known]
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell news."""
-        return self._rumours.pick_round()
+        return self._rumours.pick_fanout()
 
     def pick_pair(self) -> list[str]:
         """Returns a host of this data centre and one elsewhere."""
@@ -140,16 +142,16 @@
         age_s = now - self._others.at
         return None if age_s > _EXPIRY_S else age_s
 
-    def read_others(self, now: float) -> messages.Table:
+    def read_others(self, now: float) -> messages.LoadTable:
         """Returns what all other instances have under way."""
         if self.is_relay(now):
-            return lines.subtract(self._add_up(), self._own)
+            return links.subtract(self._add_up(), self._own)
         if now - self._others.at > _EXPIRY_S:
             return {}
         return self._others.loads
 
     @property
-    def spacing_s(self) -> float:
+    def min_interval_s(self) -> float:
         """The least time between two calls of `tick`, in seconds."""
         return _ROUND_S * max(1, len(self._reports) + len(self._sums))
 
@@ -162,7 +164,7 @@
         """
         self._urgent = self._urgent or urgent
         self._own = self._instance.read_loads()
-        placed = self._instance.take_placed()
+        placed = self._instance.take_placements()
         self._expire(now)
         sends = self._greet(now)
         sends += self._address_all(self._rumours.tick(now))
@@ -174,12 +176,12 @@
         if not self._relays(now):
             self._urgent = False
         elif now >= self._round_at:
-            self._round_at = now + self.spacing_s - _ROUND_S
+            self._round_at = now + self.min_interval_s - _ROUND_S
             sends += self._relay(now)
             self._urgent = False
         return sends
 
-    def hear(
+    def receive(
         self, message: messages.Message, host: str, now: float
     ) -> list[messages.Send]:
         """Takes a message; returns what to answer."""
@@ -203,65 +205,69 @@
                 self._note(host, message.data_centre, now)
                 if host not in self._reports:
                     line = self._lines[host]
-                    line.placed = self._instance.list_placed()
-                heard = lines.Heard(message.loads, now, message.sent_at)
+                    line.placed = self._instance.list_placements()
+                heard = links.ReceivedLoads(message.loads, now, message.sent_at)
                 self._reports[host] = heard
                 self._urgent = self._urgent or message.urgent
                 self._take_placed(message.placed, host)
                 self._take_proof(message, host, now)
-            case messages.Sum():
+            case messages.DataCentreLoads():
                 self._note(host, message.data_centre, now)
                 self._roster.note_answer(host)
                 if host not in self._sums:
                     line = self._lines[host]
-                    line.placed = self._instance.list_placed_here()
-                heard = lines.Heard(message.loads, now, message.sent_at)
+                    line.placed = self._instance.list_local_placements()
+                heard = links.ReceivedLoads(message.loads, now, message.sent_at)
                 self._sums[host] = heard
                 self._take_placed(message.placed, host)
                 self._take_proof(message, host, now)
-            case messages.Others():
+            case messages.OtherLoads():
                 self._take_others(message, host, now)
             case (
                 messages.Gossip() | messages.Findings() | messages.Suspicions()
             ):
                 self._note(host, message.data_centre, now)
-                return self._address_all(self._rumours.hear(message, host, now))
+                return self._address_all(
+                    self._rumours.receive(message, host, now)
+                )
         return []
 
     def _take_others(
-        self, message: messages.Others, host: str, now: float
+        self, message: messages.OtherLoads, host: str, now: float
     ) -> None:
         self._roster.note_answer(host)
-        self._others = lines.Heard(message.loads, now, message.sent_at)
+        self._others = links.ReceivedLoads(message.loads, now, message.sent_at)
         self._others_teller = host
-        self._instance.note_placed(message.placed)
+        self._instance.record_placements(message.placed)
         self._take_proof(message, host, now)
 
     def _take_proof(
         self,
-        message: messages.Report | messages.Sum | messages.Others,
+        message: messages.Report
+        | messages.DataCentreLoads
+        | messages.OtherLoads,
         host: str,
         now: float,
     ) -> None:
         proofs.take(self._instance, message.proof, message.echo, host, now)
 
-    def note_sign(self, data_centre: str, host: str, now: float) -> None:
+    def record_contact(self, data_centre: str, host: str, now: float) -> None:
         """Takes a sign of another instance beside the exchange."""
         self._note(host, data_centre, now)
 
-    def tell_suspicions(self, now: float) -> list[messages.Send]:
+    def flush_suspicions(self, now: float) -> list[messages.Send]:
         """Returns what to send at once of requests that end runners."""
-        return self._address_all(self._rumours.tell_suspicions(now))
+        return self._address_all(self._rumours.flush_suspicions(now))
 
     # Reporting.
 
     def _report(
-        self, relay: str, placed: list[messages.Placed], now: float
+        self, relay: str, placed: list[messages.Placement], now: float
     ) -> list[messages.Send]:
         line = self._lines[relay]
         line.add_placed(placed)
         self._roster.note_asked(relay, now)
-        if not lines.is_due(line, self._own, now):
+        if not links.is_due(line, self._own, now):
             return []
         report = messages.Report(
             self._data_centre,
@@ -269,7 +275,7 @@
             line.next_placed,
             now,
             self._urgent,
-            self._instance.read_proof(now),
+            self._instance.read_store_status(now),
             self._others.sent_at if self._others_teller == relay else 0.0,
         )
         line.note_told(self._own, now)
@@ -292,16 +298,16 @@
         return sends + self._tell_members(now)
 
     def _tell_sum(
-        self, host: str, here: messages.Table, now: float
+        self, host: str, here: messages.LoadTable, now: float
     ) -> list[messages.Send]:
         line = self._lines[host]
-        proof = self._instance.read_proof(now)
-        news = lines.has_news(line, proof)
-        if not news and not lines.is_due(line, here, now):
+        proof = self._instance.read_store_status(now)
+        news = links.has_news(line, proof)
+        if not news and not links.is_due(line, here, now):
             return []
         line.proof = proof
         heard = self._sums.get(host)
-        total = messages.Sum(
+        total = messages.DataCentreLoads(
             self._data_centre,
             here,
             line.next_placed,
@@ -314,16 +320,16 @@
         return [self._address(host, total)]
 
     def _answer_report(
-        self, host: str, total: messages.Table, now: float
+        self, host: str, total: messages.LoadTable, now: float
     ) -> list[messages.Send]:
         line = self._lines[host]
-        others = lines.subtract(total, self._reports[host].loads)
-        proof = self._instance.read_proof(now)
-        news = lines.has_news(line, proof)
-        if not news and not lines.is_due(line, others, now):
+        others = links.subtract(total, self._reports[host].loads)
+        proof = self._instance.read_store_status(now)
+        news = links.has_news(line, proof)
+        if not news and not links.is_due(line, others, now):
             return []
         line.proof = proof
-        told = messages.Others(
+        told = messages.OtherLoads(
             others,
             line.next_placed,
             self._reports[host].sent_at,
@@ -349,29 +355,29 @@
         hosts = {*self._reports, *self._list_relays(now)}
         return [self._address(host, told) for host in sorted(hosts)]
 
-    def _sum_here(self, now: float) -> messages.Table:
+    def _sum_here(self, now: float) -> messages.LoadTable:
         tables = [heard.loads for heard in self._reports.values()]
         # An instance that reports elsewhere is counted there.
         if self.is_relay(now):
             tables.append(self._own)
-        return lines.add(tables)
+        return links.add(tables)
 
-    def _add_up(self) -> messages.Table:
+    def _add_up(self) -> messages.LoadTable:
         """Returns what all instances have under way, this one included."""
         tables = [self._own]
         tables += [heard.loads for heard in self._sums.values()]
         tables += [heard.loads for heard in self._reports.values()]
-        return lines.add(tables)
+        return links.add(tables)
 
     def _take_placed(
-        self, placed: tuple[messages.Placed, ...], host: str
+        self, placed: tuple[messages.Placement, ...], host: str
     ) -> None:
         if placed:
-            self._instance.note_placed(placed)
+            self._instance.record_placements(placed)
             self._spread(placed, host)
 
     def _spread(
-        self, placed: Iterable[messages.Placed], teller: str | None
+        self, placed: Iterable[messages.Placement], teller: str | None
     ) -> None:
         """Keeps placements for whoever hasn't heard of them.
 
@@ -394,7 +400,7 @@
         hello = messages.Hello(self._data_centre)
         return [self._address(host, hello) for host in hosts]
 
-    def _address_all(self, told: rumours.Told) -> list[messages.Send]:
+    def _address_all(self, told: dissemination.Outgoing) -> list[messages.Send]:
         return [self._address(host, message) for host, message in told]
 
     def _address(self, host: str, message: messages.Message) -> messages.Send:
--- a/pollenfork/loads/greetings.py
+++ b/pollenfork/loads/discovery.py
@@ -7,7 +7,7 @@
 _HELLO_S = 0.5
 
 
-class Greetings:
+class Discovery:
     """Finds others anew where nobody has been heard lately.
 
     After a cut both sides have passed over all relays of the other, and
--- a/pollenfork/loads/rumours.py
+++ b/pollenfork/loads/dissemination.py
@@ -9,7 +9,7 @@
 from pollenfork.loads import messages
 from pollenfork.loads import proofs
 
-Told = list[tuple[str, messages.Message]]
+Outgoing = list[tuple[str, messages.Message]]
 
 # How often one instance near and one far is told a part of all that speaks
 # against requests, in seconds: who has missed the news hears it so.
@@ -22,7 +22,7 @@
 _ASKING_S = 5.0
 
 
-class Rumours:
+class Disseminator:
     """News of the store, and of runners, from instance to instance."""
 
     def __init__(
@@ -51,29 +51,29 @@
         self._ask_until = 0.0
         self._asked = False
 
-    def tick(self, now: float) -> Told:
+    def tick(self, now: float) -> Outgoing:
         """Returns what to send in this period, by host."""
-        told: Told = []
-        told += self._gossip.tell(self._instance.read_proof(now), now)
-        for own in self._instance.take_found():
+        told: Outgoing = []
+        told += self._gossip.tick(self._instance.read_store_status(now), now)
+        for own in self._instance.take_findings():
             finding = msgspec.structs.replace(
-                own, data_centre=self._me.data_centre, witness=self._witness
+                own, data_centre=self._me.data_centre, observer=self._witness
             )
             self._outbox.take(finding, now)
         found = self._outbox.choose(now)
         if found:
             message = messages.Findings(self._me.data_centre, found)
-            told += [(host, message) for host in self._gossip.pick_round()]
-        return told + self.tell_suspicions(now) + self._catch_up(now)
+            told += [(host, message) for host in self._gossip.pick_fanout()]
+        return told + self.flush_suspicions(now) + self._catch_up(now)
 
-    def tell_suspicions(self, now: float) -> Told:
+    def flush_suspicions(self, now: float) -> Outgoing:
         """Returns what to tell at once of requests, by host."""
         news = self._instance.take_suspicions(now)
-        return self._address(news, self._gossip.pick_round()) if news else []
+        return self._address(news, self._gossip.pick_fanout()) if news else []
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell news."""
-        return self._gossip.pick_round()
+        return self._gossip.pick_fanout()
 
     def pick_pair(self) -> list[str]:
         """Returns a host of this data centre and one elsewhere."""
@@ -85,12 +85,12 @@
             self._ask_until = now + _ASKING_S
         self._heard_at = now
 
-    def hear(
+    def receive(
         self,
         message: messages.Gossip | messages.Findings | messages.Suspicions,
         host: str,
         now: float,
-    ) -> Told:
+    ) -> Outgoing:
         """Takes a message; returns what to answer, by host."""
         if isinstance(message, messages.Findings):
             self._take_found(message, now)
@@ -98,42 +98,42 @@
         if isinstance(message, messages.Suspicions):
             return self._take_suspicions(message, host, now)
         proofs.take(self._instance, message.proof, message.echo, host, now)
-        proof = self._instance.read_proof(now)
+        proof = self._instance.read_store_status(now)
         answer = self._gossip.answer(message, proof, now)
         return [] if answer is None else [(host, answer)]
 
     def _take_found(self, message: messages.Findings, now: float) -> None:
         for finding in message.found:
             if self._outbox.take(finding, now):
-                self._instance.note_found(finding, now)
+                self._instance.record_finding(finding, now)
 
     def _take_suspicions(
         self, message: messages.Suspicions, host: str, now: float
-    ) -> Told:
-        if message.asks:
-            told: Told = []
+    ) -> Outgoing:
+        if message.wants_all:
+            told: Outgoing = []
             for page in self._instance.list_suspicions(now):
                 told += self._address(page, [host])
             return told
         if self._asked:
             self._ask_until = 0.0
             self._asked = False
-        self._instance.note_instances(self._roster.size)
-        self._instance.note_suspicions(message, host, now)
+        self._instance.record_instance_count(self._roster.size)
+        self._instance.record_suspicions(message, host, now)
         # Passed on as it comes, it is everywhere within a few ways.
-        return self.tell_suspicions(now)
+        return self.flush_suspicions(now)
 
-    def _catch_up(self, now: float) -> Told:
+    def _catch_up(self, now: float) -> Outgoing:
         """Returns what repairs what was missed, here and elsewhere."""
-        told: Told = []
+        told: Outgoing = []
         last = self._ticked_at
         self._ticked_at = now
         if last is None or now - last > _ABSENT_S:
             self._ask_until = now + _ASKING_S
         if self._ask_at <= now < self._ask_until:
             self._ask_at = now + _ASK_S
-            asking = messages.Suspicions("", asks=True)
-            hosts = self._gossip.pick_round()
+            asking = messages.Suspicions("", wants_all=True)
+            hosts = self._gossip.pick_fanout()
             told += self._address(asking, hosts)
             self._asked = bool(hosts)
         if now >= self._page_at:
@@ -143,7 +143,9 @@
                 told += self._address(page, self._gossip.pick_pair())
         return told
 
-    def _address(self, message: messages.Suspicions, hosts: list[str]) -> Told:
+    def _address(
+        self, message: messages.Suspicions, hosts: list[str]
+    ) -> Outgoing:
         mine = msgspec.structs.replace(
             message, data_centre=self._me.data_centre
         )
--- a/pollenfork/loads/edges.py
+++ b/pollenfork/loads/edges.py
@@ -9,26 +9,26 @@
 class Instance(Protocol):
     """What the exchange asks of its instance and tells it."""
 
-    def read_loads(self) -> messages.Table:
+    def read_loads(self) -> messages.LoadTable:
         """Returns what it has under way."""
 
-    def take_placed(self) -> list[messages.Placed]:
+    def take_placements(self) -> list[messages.Placement]:
         """Returns what it has placed since the last call."""
 
-    def list_placed(self) -> list[messages.Placed]:
+    def list_placements(self) -> list[messages.Placement]:
         """Returns all that runners are believed to keep."""
 
-    def list_placed_here(self) -> list[messages.Placed]:
+    def list_local_placements(self) -> list[messages.Placement]:
         """Returns what runners of its data centre are believed to keep."""
 
-    def read_proof(self, now: float) -> messages.Proof | None:
+    def read_store_status(self, now: float) -> messages.StoreStatus | None:
         """Returns what it knows of the store, and how old that may be."""
 
-    def note_placed(self, placed: Iterable[messages.Placed]) -> None:
+    def record_placements(self, placed: Iterable[messages.Placement]) -> None:
         """Takes what others have placed."""
 
-    def note_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+    def record_store_status(
+        self, proof: messages.StoreStatus, moment: float, teller: str
     ) -> None:
         """Takes what a relay knows.
 
@@ -38,10 +38,12 @@
             teller: Its host.
         """
 
-    def note_versions(self, proof: messages.Proof, teller: str) -> None:
+    def record_store_versions(
+        self, proof: messages.StoreStatus, teller: str
+    ) -> None:
         """Takes what another one has read, which proves no moment."""
 
-    def note_answered(self, moment: float) -> None:
+    def record_store_answer(self, moment: float) -> None:
         """Takes about when the store answered another instance.
 
         Args:
@@ -49,10 +51,10 @@
                 it was under way.
         """
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         """Returns what it has found out of runners since the last call."""
 
-    def note_found(self, finding: messages.Finding, now: float) -> None:
+    def record_finding(self, finding: messages.Finding, now: float) -> None:
         """Takes what another one has found out of a runner."""
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
@@ -64,7 +66,7 @@
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
         """Returns all that it knows of them, by datagram."""
 
-    def note_suspicions(
+    def record_suspicions(
         self, told: messages.Suspicions, host: str, now: float
     ) -> None:
         """Takes what another one knows of them.
@@ -75,5 +77,5 @@
             now: Monotonic seconds.
         """
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         """Takes how many instances are known, this one included."""
--- a/pollenfork/loads/findings.py
+++ b/pollenfork/loads/findings.py
@@ -29,19 +29,23 @@
     """Keeps what was found lately, here and elsewhere."""
 
     def __init__(self) -> None:
-        self._kept: dict[tuple[int, messages.Sign, int], _Kept] = {}
+        self._kept: dict[tuple[int, messages.Symptom, int], _Kept] = {}
 
     def take(self, finding: messages.Finding, now: float) -> bool:
         """Takes a finding; returns whether it is news here."""
         moment = now - max(0.0, finding.age_s)
         if finding.age_s > _EXPIRY_S:
             return False
-        silent = finding.sign is messages.Sign.SILENT
-        key = finding.place, finding.sign, finding.witness if silent else 0
+        silent = finding.sign is messages.Symptom.SILENT
+        key = (
+            finding.runner_hash,
+            finding.sign,
+            finding.observer if silent else 0,
+        )
         known = self._kept.get(key)
         if known is not None and moment < known.moment + _RENEWED_S:
             return False
-        if silent and known is None and self._is_witnessed(finding.place):
+        if silent and known is None and self._is_witnessed(finding.runner_hash):
             return False
         self._kept[key] = _Kept(finding, moment)
         return True
@@ -63,6 +67,6 @@
 
     def _is_witnessed(self, place: int) -> bool:
         """Returns whether enough others have found a runner silent."""
-        silent = messages.Sign.SILENT
+        silent = messages.Symptom.SILENT
         known = [key for key in self._kept if key[:2] == (place, silent)]
         return len(known) >= _WITNESSES
--- a/pollenfork/loads/gossip.py
+++ b/pollenfork/loads/gossip.py
@@ -41,8 +41,8 @@
         self._near_next = True
         self._last: dict[bool, int] = {}
 
-    def tell(
-        self, proof: messages.Proof | None, now: float
+    def tick(
+        self, proof: messages.StoreStatus | None, now: float
     ) -> list[tuple[str, messages.Gossip]]:
         """Returns what to send in this period, by host.
 
@@ -56,7 +56,10 @@
         return [(host, message) for host in self._choose(proof, now)]
 
     def answer(
-        self, message: messages.Gossip, proof: messages.Proof | None, now: float
+        self,
+        message: messages.Gossip,
+        proof: messages.StoreStatus | None,
+        now: float,
     ) -> messages.Gossip | None:
         """Returns what to answer, if that is worth a datagram."""
         if proof is None or message.echo:
@@ -67,7 +70,7 @@
             self._me.data_centre, proof, now, message.sent_at
         )
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the hosts to tell of news in one period."""
         return self._pick(True, _NEAR) + self._pick(False, _FAR)
 
@@ -75,14 +78,14 @@
         """Returns a host of this data centre and one elsewhere."""
         return self._pick(True, 1) + self._pick(False, 1)
 
-    def _choose(self, proof: messages.Proof, now: float) -> list[str]:
+    def _choose(self, proof: messages.StoreStatus, now: float) -> list[str]:
         versions = proof.configuration, proof.runners
         if versions != self._told:
             self._told = versions
             self._rounds_left = _ROUNDS
         if self._rounds_left:
             self._rounds_left -= 1
-            return self.pick_round()
+            return self.pick_fanout()
         if now < self._exchange_at:
             return []
         self._exchange_at = now + _EXCHANGE_S
@@ -112,7 +115,9 @@
         return [host for _, host in picked]
 
 
-def _is_better(mine: messages.Proof, theirs: messages.Proof) -> bool:
+def _is_better(
+    mine: messages.StoreStatus, theirs: messages.StoreStatus
+) -> bool:
     """Returns whether one proof would tell the other's holder anything."""
     return (
         mine.configuration > theirs.configuration
--- a/pollenfork/loads/lines.py
+++ b/pollenfork/loads/links.py
@@ -15,15 +15,15 @@
 _REPEAT_S = 0.3
 
 
-class Heard(msgspec.Struct):
+class ReceivedLoads(msgspec.Struct):
     """What another instance has told."""
 
-    loads: messages.Table
+    loads: messages.LoadTable
     at: float
     sent_at: float = 0.0
 
 
-class Line(msgspec.Struct):
+class Link(msgspec.Struct):
     """What goes to one address.
 
     Attributes:
@@ -33,51 +33,53 @@
         proof: What was last told of the store's versions.
     """
 
-    loads: messages.Table = {}
+    loads: messages.LoadTable = {}
     at: float = -_REPEAT_S
-    placed: list[messages.Placed] = msgspec.field(default_factory=list)
-    proof: messages.Proof | None = None
+    placed: list[messages.Placement] = msgspec.field(default_factory=list)
+    proof: messages.StoreStatus | None = None
 
-    def add_placed(self, placed: Iterable[messages.Placed]) -> None:
+    def add_placed(self, placed: Iterable[messages.Placement]) -> None:
         """Takes placements to tell."""
         self.placed.extend(placed)
         del self.placed[:-_PLACED_LIMIT]
 
     @property
-    def next_placed(self) -> tuple[messages.Placed, ...]:
+    def next_placed(self) -> tuple[messages.Placement, ...]:
         """The placements for the next datagram."""
         return tuple(self.placed[:_PLACED_EACH])
 
-    def note_told(self, loads: messages.Table, now: float) -> None:
+    def note_told(self, loads: messages.LoadTable, now: float) -> None:
         """Notes that loads and the next placements were told."""
         self.loads = loads
         self.at = now
         del self.placed[:_PLACED_EACH]
 
 
-def is_due(line: Line, loads: messages.Table, now: float) -> bool:
+def is_due(line: Link, loads: messages.LoadTable, now: float) -> bool:
     """Returns whether there is something to tell, or it is time to repeat."""
     changed = bool(line.placed) or line.loads != loads
     return changed or now - line.at >= _REPEAT_S
 
 
-def add(tables: list[messages.Table]) -> messages.Table:
+def add(tables: list[messages.LoadTable]) -> messages.LoadTable:
     """Returns the loads of several instances added up."""
-    total: messages.Table = {}
+    total: messages.LoadTable = {}
     for table in tables:
         for runner, load in table.items():
             known = total.get(runner)
             if known is not None:
                 load = messages.Load(
                     known.active + load.active,
-                    known.reading + load.reading,
-                    known.quick + load.quick,
+                    known.unread_tokens + load.unread_tokens,
+                    known.top_tier + load.top_tier,
                 )
             total[runner] = load
     return total
 
 
-def subtract(total: messages.Table, part: messages.Table) -> messages.Table:
+def subtract(
+    total: messages.LoadTable, part: messages.LoadTable
+) -> messages.LoadTable:
     """Returns a total without the loads of one that is in it."""
     rest = dict(total)
     for runner, load in part.items():
@@ -87,13 +89,13 @@
             continue
         rest[runner] = messages.Load(
             known.active - load.active,
-            known.reading - load.reading,
-            known.quick - load.quick,
+            known.unread_tokens - load.unread_tokens,
+            known.top_tier - load.top_tier,
         )
     return rest
 
 
-def has_news(line: Line, proof: messages.Proof | None) -> bool:
+def has_news(line: Link, proof: messages.StoreStatus | None) -> bool:
     """Returns whether the store's tables have changed since the last word."""
     told = line.proof
     if proof is None:
--- a/pollenfork/loads/members.py
+++ b/pollenfork/loads/members.py
@@ -55,9 +55,9 @@
         """Notes that a relay should speak soon; passes over a silent one."""
         since = self._waiting_since.setdefault(host, now)
         if now - since > SILENT_S:
-            self.pass_over(host, now)
+            self.mark_unresponsive(host, now)
 
-    def pass_over(self, host: str, now: float) -> None:
+    def mark_unresponsive(self, host: str, now: float) -> None:
         """Lets another member relay instead of one that doesn't answer."""
         self._passed_over[host] = now
         self._waiting_since.pop(host, None)
--- a/pollenfork/loads/messages.py
+++ b/pollenfork/loads/messages.py
@@ -27,12 +27,12 @@
     """
 
     active: int = 0
-    reading: int = 0
-    quick: int = 0
+    unread_tokens: int = 0
+    top_tier: int = 0
 
 
 # Runners by a hash of their id: the ids are three times as long as the rest.
-Table = dict[int, Load]
+LoadTable = dict[int, Load]
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -61,7 +61,7 @@
     members: tuple[Sighting, ...]
 
 
-class Placed(msgspec.Struct, frozen=True, array_like=True):
+class Placement(msgspec.Struct, frozen=True, array_like=True):
     """A runner was given a shared part of a prompt to read, or lost it.
 
     Attributes:
@@ -75,7 +75,7 @@
     kept: bool = True
 
 
-class Proof(msgspec.Struct, frozen=True, array_like=True):
+class StoreStatus(msgspec.Struct, frozen=True, array_like=True):
     """What an instance knows of the store, and how old that may be.
 
     Attributes:
@@ -107,15 +107,15 @@
     """
 
     data_centre: str
-    loads: Table
-    placed: tuple[Placed, ...] = ()
+    loads: LoadTable
+    placed: tuple[Placement, ...] = ()
     sent_at: float = 0.0
     urgent: bool = False
-    proof: Proof | None = None
+    proof: StoreStatus | None = None
     echo: float = 0.0
 
 
-class Sum(msgspec.Struct, frozen=True, array_like=True, tag="s"):
+class DataCentreLoads(msgspec.Struct, frozen=True, array_like=True, tag="s"):
     """A relay tells the other relays what its reporters have under way.
 
     Attributes:
@@ -129,15 +129,15 @@
     """
 
     data_centre: str
-    loads: Table
-    placed: tuple[Placed, ...] = ()
+    loads: LoadTable
+    placed: tuple[Placement, ...] = ()
     urgent: bool = False
     sent_at: float = 0.0
     echo: float = 0.0
-    proof: Proof | None = None
+    proof: StoreStatus | None = None
 
 
-class Others(msgspec.Struct, frozen=True, array_like=True, tag="o"):
+class OtherLoads(msgspec.Struct, frozen=True, array_like=True, tag="o"):
     """A relay tells a reporter what all others have under way.
 
     Attributes:
@@ -148,10 +148,10 @@
         sent_at: The relay's clock; the reporter's next report repeats it.
     """
 
-    loads: Table
-    placed: tuple[Placed, ...] = ()
+    loads: LoadTable
+    placed: tuple[Placement, ...] = ()
     echo: float = 0.0
-    proof: Proof | None = None
+    proof: StoreStatus | None = None
     sent_at: float = 0.0
 
 
@@ -166,12 +166,12 @@
     """
 
     data_centre: str
-    proof: Proof
+    proof: StoreStatus
     sent_at: float = 0.0
     echo: float = 0.0
 
 
-class Sign(enum.Enum):
+class Symptom(enum.Enum):
     """What a runner's address has shown an instance."""
 
     DISPLACED = "d"  # Another runner answers there: this one is gone.
@@ -190,11 +190,11 @@
         witness: A hash of that instance's host.
     """
 
-    place: int
-    sign: Sign
+    runner_hash: int
+    sign: Symptom
     age_s: float = 0.0
     data_centre: str = ""
-    witness: int = 0
+    observer: int = 0
 
 
 class Findings(msgspec.Struct, frozen=True, array_like=True, tag="f"):
@@ -209,7 +209,7 @@
     found: tuple[Finding, ...]
 
 
-class RunnerEnd(msgspec.Struct, frozen=True, array_like=True):
+class RunnerCrash(msgspec.Struct, frozen=True, array_like=True):
     """A runner ended while it ran a request.
 
     Attributes:
@@ -223,10 +223,10 @@
     """
 
     digest: int
-    place: int
+    runner_hash: int
     sent_ms: int
     ended_ms: int
-    witness: int
+    sender: int
     made_ms: int | None = None
 
 
@@ -257,13 +257,13 @@
     """
 
     data_centre: str
-    ends: tuple[RunnerEnd, ...] = ()
+    ends: tuple[RunnerCrash, ...] = ()
     cleared: tuple[Clearance, ...] = ()
-    asks: bool = False
-    kept: tuple[int, ...] = ()
+    wants_all: bool = False
+    quarantined: tuple[int, ...] = ()
 
 
-class Counted(msgspec.Struct, frozen=True, array_like=True):
+class WindowCounts(msgspec.Struct, frozen=True, array_like=True):
     """Requests that began to run at an instance in a window of time.
 
     Attributes:
@@ -289,13 +289,13 @@
 
     data_centre: str
     start: int
-    counted: tuple[Counted, ...]
+    counted: tuple[WindowCounts, ...]
     through: float
     wall: float
     sent_at: float
 
 
-class HolderWord(msgspec.Struct, frozen=True, array_like=True, tag="w"):
+class HolderNotice(msgspec.Struct, frozen=True, array_like=True, tag="w"):
     """Says who holds the duties.
 
     Attributes:
@@ -319,13 +319,13 @@
     Hello
     | Members
     | Report
-    | Sum
-    | Others
+    | DataCentreLoads
+    | OtherLoads
     | Gossip
     | Findings
     | Suspicions
     | Tally
-    | HolderWord
+    | HolderNotice
     | limit_messages.LimitMessage
 )
 
--- a/pollenfork/loads/proofs.py
+++ b/pollenfork/loads/proofs.py
@@ -6,7 +6,7 @@
 
 def take(
     instance: edges.Instance,
-    proof: messages.Proof | None,
+    proof: messages.StoreStatus | None,
     echo: float,
     host: str,
     now: float,
@@ -27,11 +27,11 @@
         answered_s = proof.age_s
     # Counted from its arrival: where the word was long under way this makes
     # an outage shorter, and entries are kept less rather than wrongly.
-    instance.note_answered(now - answered_s)
+    instance.record_store_answer(now - answered_s)
     if not 0.0 < echo <= now:
         # It answers nothing yet, or what was sent before a new start.
-        instance.note_versions(proof, host)
+        instance.record_store_versions(proof, host)
         return
     # It was written after what it repeats was sent, however long either was
     # under way or this instance stood still.
-    instance.note_proof(proof, echo - proof.age_s, host)
+    instance.record_store_status(proof, echo - proof.age_s, host)
--- a/pollenfork/loads/tests/test_exchange.py
+++ b/pollenfork/loads/tests/test_exchange.py
@@ -13,52 +13,54 @@
 
     def __init__(self, number: int) -> None:
         self.loads = {number: messages.Load(1, 100 + number)}
-        self.placed: list[messages.Placed] = []
-        self.kept: list[messages.Placed] = []
-        self.kept_here: list[messages.Placed] = []
-        self.heard: set[messages.Placed] = set()
-        self.proof: messages.Proof | None = None
+        self.placed: list[messages.Placement] = []
+        self.kept: list[messages.Placement] = []
+        self.kept_here: list[messages.Placement] = []
+        self.heard: set[messages.Placement] = set()
+        self.proof: messages.StoreStatus | None = None
         self.answered: list[float] = []
-        self.proven: list[tuple[messages.Proof, float]] = []
-        self.versions: set[tuple[messages.Proof, str]] = set()
+        self.proven: list[tuple[messages.StoreStatus, float]] = []
+        self.versions: set[tuple[messages.StoreStatus, str]] = set()
         self.found: list[messages.Finding] = []
         self.found_elsewhere: list[messages.Finding] = []
 
-    def read_loads(self) -> messages.Table:
+    def read_loads(self) -> messages.LoadTable:
         return dict(self.loads)
 
-    def take_placed(self) -> list[messages.Placed]:
+    def take_placements(self) -> list[messages.Placement]:
         placed, self.placed = self.placed, []
         return placed
 
-    def list_placed(self) -> list[messages.Placed]:
+    def list_placements(self) -> list[messages.Placement]:
         return list(self.kept)
 
-    def list_placed_here(self) -> list[messages.Placed]:
+    def list_local_placements(self) -> list[messages.Placement]:
         return list(self.kept_here)
 
-    def read_proof(self, now: float) -> messages.Proof | None:
+    def read_store_status(self, now: float) -> messages.StoreStatus | None:
         return self.proof
 
-    def note_placed(self, placed) -> None:
+    def record_placements(self, placed) -> None:
         self.heard.update(placed)
 
-    def note_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+    def record_store_status(
+        self, proof: messages.StoreStatus, moment: float, teller: str
     ) -> None:
         self.proven.append((proof, moment))
 
-    def note_answered(self, moment: float) -> None:
+    def record_store_answer(self, moment: float) -> None:
         self.answered.append(moment)
 
-    def note_versions(self, proof: messages.Proof, teller: str) -> None:
+    def record_store_versions(
+        self, proof: messages.StoreStatus, teller: str
+    ) -> None:
         self.versions.add((proof, teller))
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         found, self.found = self.found, []
         return found
 
-    def note_found(self, finding: messages.Finding, now: float) -> None:
+    def record_finding(self, finding: messages.Finding, now: float) -> None:
         self.found_elsewhere.append(finding)
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
@@ -70,10 +72,10 @@
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
         return [messages.Suspicions("")]
 
-    def note_suspicions(self, told, host, now) -> None:
+    def record_suspicions(self, told, host, now) -> None:
         pass
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         """Takes nothing."""
 
 
@@ -129,7 +131,7 @@
             message = messages.decode(messages.encode(send.message))
             exchange = self.exchanges.get(send.to.host)
             if exchange is not None and message is not None:
-                answers = exchange.hear(message, sender, self.now)
+                answers = exchange.receive(message, sender, self.now)
                 self.deliver(send.to.host, answers)
 
     def check_totals(self) -> None:
@@ -194,7 +196,7 @@
 def test_placements_reach_everyone_once_or_more() -> None:
     network = Network(10)
     network.run(4.0)
-    placed = messages.Placed(5, 6)
+    placed = messages.Placement(5, 6)
     network.instances["10.1.0.004"].placed.append(placed)
     network.run(0.5)
     told = {
@@ -209,7 +211,7 @@
     network = Network(4)
     network.run(3.0)
     relay, reporter = "10.0.0.000", "10.0.0.003"
-    network.instances[relay].proof = messages.Proof(7, 8, age_s=0.5)
+    network.instances[relay].proof = messages.StoreStatus(7, 8, age_s=0.5)
     sent_at = network.now
     network.run(1.0)
     proven = network.instances[reporter].proven
@@ -224,10 +226,10 @@
     network = Network(6)
     relay = network.instances["10.0.0.000"]
     reporter = network.instances["10.0.0.003"]
-    relay.proof = messages.Proof(1, 1, 0.0)
+    relay.proof = messages.StoreStatus(1, 1, 0.0)
     network.run(4.0)
     for number in range(2, 10):
-        relay.proof = messages.Proof(number, 1, 0.0)
+        relay.proof = messages.StoreStatus(number, 1, 0.0)
         network.run(core.PERIOD_S * 2.5)
         assert reporter.proven[-1][0].configuration == number
 
@@ -237,8 +239,8 @@
     network.run(4.0)
     prover = "10.0.0.000"
     for exchange in network.exchanges.values():
-        assert exchange.find_prover(network.now) == prover
-    network.instances[prover].proof = messages.Proof(7, 7, 0.25)
+        assert exchange.find_store_poller(network.now) == prover
+    network.instances[prover].proof = messages.StoreStatus(7, 7, 0.25)
     network.run(1.0)
     for host in ("10.1.0.001", "10.2.0.002"):
         proof, moment = network.instances[host].proven[-1]
@@ -248,7 +250,7 @@
     network.down = {prover}
     network.run(6.0)
     for host in ("10.0.0.003", "10.1.0.001", "10.2.0.002"):
-        found = network.exchanges[host].find_prover(network.now)
+        found = network.exchanges[host].find_store_poller(network.now)
         assert found == "10.0.0.003"
 
 
@@ -273,10 +275,12 @@
         instance.loads = {0: messages.Load(1, step)}
         for number in range(1, reporters + 1):
             report = messages.Report("a", {}, (), now)
-            relay.hear(report, f"10.0.0.{number:03}", now)
+            relay.receive(report, f"10.0.0.{number:03}", now)
         if step >= 20:
             sends = relay.tick(now)
-            told += any(isinstance(s.message, messages.Others) for s in sends)
+            told += any(
+                isinstance(s.message, messages.OtherLoads) for s in sends
+            )
     return told
 
 
@@ -299,8 +303,8 @@
     assert messages.decode(b"") is None
 
 
-def make_placed(count: int) -> set[messages.Placed]:
-    return {messages.Placed(part, 1) for part in range(count)}
+def make_placed(count: int) -> set[messages.Placement]:
+    return {messages.Placement(part, 1) for part in range(count)}
 
 
 def test_one_that_starts_is_told_all_that_runners_keep() -> None:
@@ -341,7 +345,7 @@
 
 def test_a_relay_hears_what_those_that_report_to_it_have_read() -> None:
     network = Network(6)
-    proof = messages.Proof(3, 7, 0.0)
+    proof = messages.StoreStatus(3, 7, 0.0)
     network.instances["10.0.0.003"].proof = proof
     network.run(4.0)
     relay = network.instances["10.0.0.000"]
@@ -380,9 +384,9 @@
     # The store answers one instance that relays for nobody.
     lone = network.instances["10.0.0.006"]
     for _ in range(40):
-        lone.proof = messages.Proof(7, 9, 0.0, 0.0)
+        lone.proof = messages.StoreStatus(7, 9, 0.0, 0.0)
         network.run(0.05)
-        lone.proof = messages.Proof(7, 9, 0.05, 0.05)
+        lone.proof = messages.StoreStatus(7, 9, 0.05, 0.05)
     relay = network.instances["10.0.0.000"]
     newest = max(moment for _, moment in relay.proven)
     assert network.now - newest < 0.5
@@ -393,9 +397,9 @@
     network = Network(2)
     exchange = next(iter(network.exchanges.values()))
     seen = network.instances["10.0.0.000"]
-    proof = messages.Proof(7, 9, 0.5)
+    proof = messages.StoreStatus(7, 9, 0.5)
     report = messages.Report("a", {}, proof=proof, echo=5000.0)
-    exchange.hear(report, "10.0.0.003", network.now)
+    exchange.receive(report, "10.0.0.003", network.now)
     assert seen.proven == []
     assert seen.versions == {(proof, "10.0.0.003")}
     assert seen.answered == [network.now - 0.5]
@@ -404,7 +408,7 @@
 def test_what_one_found_of_a_runner_reaches_all_within_a_third_of_a_second():
     network = Network(24)
     network.run(4.0)
-    finding = messages.Finding(7, messages.Sign.DISPLACED)
+    finding = messages.Finding(7, messages.Symptom.DISPLACED)
     network.instances["10.1.0.004"].found.append(finding)
     network.run(0.3)
     heard = [
@@ -414,5 +418,5 @@
     ]
     assert all(len(each) == 1 for each in heard)
     witness = messages.hash_name(b"10.1.0.004")
-    assert {each[0].witness for each in heard} == {witness}
+    assert {each[0].observer for each in heard} == {witness}
     assert {each[0].data_centre for each in heard} == {"b"}
--- a/pollenfork/loads/tests/test_findings.py
+++ b/pollenfork/loads/tests/test_findings.py
@@ -5,7 +5,7 @@
 from pollenfork.loads import findings
 from pollenfork.loads import messages
 
-Sign = messages.Sign
+Sign = messages.Symptom
 GONE = messages.Finding(7, Sign.DISPLACED, 0.0, "a", 1)
 QUIET = messages.Finding(7, Sign.SILENT, 0.0, "a", 1)
 
@@ -18,7 +18,7 @@
     outbox = findings.Outbox()
     assert outbox.take(GONE, 100.0)
     assert not outbox.take(age(GONE, 0.1), 100.1)
-    assert not outbox.take(msgspec.structs.replace(GONE, witness=2), 100.1)
+    assert not outbox.take(msgspec.structs.replace(GONE, observer=2), 100.1)
 
 
 def test_the_same_found_once_more_after_a_pause_is_news() -> None:
@@ -44,7 +44,7 @@
 def test_silence_is_told_of_three_witnesses_at_most() -> None:
     outbox = findings.Outbox()
     taken = [
-        outbox.take(msgspec.structs.replace(QUIET, witness=each), 100.0)
+        outbox.take(msgspec.structs.replace(QUIET, observer=each), 100.0)
         for each in range(5)
     ]
     assert taken == [True, True, True, False, False]
--- a/pollenfork/loads/tests/test_gossip.py
+++ b/pollenfork/loads/tests/test_gossip.py
@@ -7,8 +7,8 @@
 from pollenfork.loads import messages
 
 _PERIOD_S = 0.05
-_OLD = messages.Proof(5, 7, 0.1)
-_NEW = messages.Proof(5, 8, 0.1)
+_OLD = messages.StoreStatus(5, 7, 0.1)
+_NEW = messages.StoreStatus(5, 8, 0.1)
 
 
 def make_gossip(number: int, count: int, centres: int) -> gossip.Gossip:
@@ -42,7 +42,7 @@
         self.now += _PERIOD_S
         heard = set()
         for host, teller in self.tellers.items():
-            for to, message in teller.tell(self.proofs[host], self.now):
+            for to, message in teller.tick(self.proofs[host], self.now):
                 self.sent += 1
                 if message.proof == _NEW:
                     heard.add(to)
@@ -86,7 +86,7 @@
 
 def test_newer_or_younger_knowledge_is_answered_and_names_the_question():
     teller = make_gossip(0, 3, 1)
-    old = messages.Proof(5, 7, 2.0)
+    old = messages.StoreStatus(5, 7, 2.0)
     asked = messages.Gossip("dc0", old, sent_at=50.0)
     for proof in (_NEW, _OLD):
         answer = teller.answer(asked, proof, 9.0)
@@ -100,4 +100,4 @@
 
 
 def test_nobody_is_told_by_one_that_knows_nothing() -> None:
-    assert make_gossip(0, 3, 1).tell(None, 1.0) == []
+    assert make_gossip(0, 3, 1).tick(None, 1.0) == []
--- a/pollenfork/poison/outbox.py
+++ b/pollenfork/poison/outbox.py
@@ -26,7 +26,7 @@
 # cases go first. 400 ends of 130 requests.
 _PAGES = 10
 
-_Piece = messages.RunnerEnd | messages.Clearance
+_Piece = messages.RunnerCrash | messages.Clearance
 
 
 class _Waiting(msgspec.Struct):
@@ -139,7 +139,7 @@
 
 
 def _pack(pieces: list[_Piece]) -> messages.Suspicions:
-    ends = [each for each in pieces if isinstance(each, messages.RunnerEnd)]
+    ends = [each for each in pieces if isinstance(each, messages.RunnerCrash)]
     cleared = [each for each in pieces if isinstance(each, messages.Clearance)]
     return messages.Suspicions("", tuple(ends), tuple(cleared))
 
@@ -162,14 +162,16 @@
             for case in page
             for end in case.ends
         ),
-        kept=tuple(case.digest for case in page if case.kept_since is not None),
+        quarantined=tuple(
+            case.digest for case in page if case.kept_since is not None
+        ),
     )
 
 
 def _write_end(
     digest: ids.RequestDigest, end: cases.End, now: float
-) -> messages.RunnerEnd:
-    return messages.RunnerEnd(
+) -> messages.RunnerCrash:
+    return messages.RunnerCrash(
         digest,
         end.place,
         _to_ms(now - end.sent_at),
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -207,18 +207,18 @@
         for each in told.ends:
             digest = ids.RequestDigest(each.digest)
             end = cases.End(
-                each.place,
+                each.runner_hash,
                 now - each.sent_ms / 1000.0,
                 now - each.ended_ms / 1000.0,
-                each.witness,
+                each.sender,
                 None if each.made_ms is None else now - each.made_ms / 1000.0,
             )
             if self.book.note_end(digest, end, now):
                 self._outbox.add_end(digest, end)
                 self._witness.check(end.place)
-            if each.witness == messages.hash_name(host.encode()):
+            if each.sender == messages.hash_name(host.encode()):
                 self.book.note_reporter(digest, host)
-        for kept in told.kept:
+        for kept in told.quarantined:
             self.book.note_voucher(ids.RequestDigest(kept), host)
 
     def _list_doubted(
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -59,7 +59,7 @@
         )
         self.suspected.when_urgent(
             lambda: fleet.deliver(
-                self, self.exchange.tell_suspicions(fleet.now)
+                self, self.exchange.flush_suspicions(fleet.now)
             )
         )
 
@@ -68,34 +68,34 @@
     def read_loads(self):
         return self.chooser.list_loads()
 
-    def take_placed(self):
-        return self.chooser.take_placed()
+    def take_placements(self):
+        return self.chooser.take_placements()
 
-    def list_placed(self):
+    def list_placements(self):
         return []
 
-    def list_placed_here(self):
+    def list_local_placements(self):
         return []
 
-    def read_proof(self, now):
-        return messages.Proof(1, 1, 0.1)
+    def read_store_status(self, now):
+        return messages.StoreStatus(1, 1, 0.1)
 
-    def note_placed(self, placed):
+    def record_placements(self, placed):
         pass
 
-    def note_proof(self, proof, moment, teller):
+    def record_store_status(self, proof, moment, teller):
         pass
 
-    def note_answered(self, moment):
+    def record_store_answer(self, moment):
         pass
 
-    def note_versions(self, proof, teller):
+    def record_store_versions(self, proof, teller):
         pass
 
-    def take_found(self):
+    def take_findings(self):
         return []
 
-    def note_found(self, finding, now):
+    def record_finding(self, finding, now):
         pass
 
     def take_suspicions(self, now):
@@ -107,10 +107,10 @@
     def list_suspicions(self, now):
         return self.suspected.list_all(now)
 
-    def note_suspicions(self, told, host, now):
+    def record_suspicions(self, told, host, now):
         self.suspected.note_told(told, host, now)
 
-    def note_instances(self, count: int) -> None:
+    def record_instance_count(self, count: int) -> None:
         self.suspected.note_others(count - 1)
 
 
@@ -406,7 +406,7 @@
     def _hear(self, send: messages.Send, sender: str) -> None:
         for each in self.instances:
             if each.host == send.to.host and each.alive:
-                answers = each.exchange.hear(send.message, sender, self.now)
+                answers = each.exchange.receive(send.message, sender, self.now)
                 self.deliver(each, answers)
 
 
--- a/pollenfork/poison/tests/test_bounds.py
+++ b/pollenfork/poison/tests/test_bounds.py
@@ -7,7 +7,7 @@
 import pathlib
 
 from pollenfork.loads import core
-from pollenfork.loads import rumours
+from pollenfork.loads import dissemination
 from pollenfork.poison import cases
 from pollenfork.poison import witness
 from pollenfork.poison.tests import pages
@@ -26,10 +26,13 @@
     "first telling lost": (PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + CHECK_S),
     "can't connect": PROOF_S + WAYS * WAY_S + witness._DOUBTED_S,
     "all news lost": (
-        PROOF_S + WAYS * (WAY_S + core.PERIOD_S) + rumours._PAGE_S + CHECK_S
+        PROOF_S
+        + WAYS * (WAY_S + core.PERIOD_S)
+        + dissemination._PAGE_S
+        + CHECK_S
     ),
     "at one moment": cases.SETTLING_S,
-    "that starts": core.PERIOD_S + rumours._ASK_S + 2 * WAY_S + CHECK_S,
+    "that starts": core.PERIOD_S + dissemination._ASK_S + 2 * WAY_S + CHECK_S,
 }
 
 
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -164,12 +164,12 @@
         for name in fleet.runners:
             place = fleets.evidence.mark(fleet.runners[name])
             ends = tuple(
-                messages.RunnerEnd(digest, place, 300 - 90 * number, 250, 1)
+                messages.RunnerCrash(digest, place, 300 - 90 * number, 250, 1)
                 for digest in (OTHER, *others)
             )
             told = messages.Suspicions("c0", ends)
             for each in fleet.instances[1:]:
-                sends = each.exchange.hear(told, accuser.host, fleet.now)
+                sends = each.exchange.receive(told, accuser.host, fleet.now)
                 fleet.deliver(each, sends)
         fleet.run(1.0)
     fleet.run(25.0)
@@ -186,7 +186,7 @@
     for each in fleet.instances:
         for number in range(20):
             place = fleets.evidence.mark(fleet.runners[f"r{number % 9}"])
-            end = messages.RunnerEnd(POISON, place + number, 90, 80, 1)
+            end = messages.RunnerCrash(POISON, place + number, 90, 80, 1)
             told = messages.Suspicions("c0", (end,))
             each.suspected.note_told(told, "10.0.0.000", fleet.now)
             fleet.run(0.05)
--- a/pollenfork/ratelimits/edges.py
+++ b/pollenfork/ratelimits/edges.py
@@ -11,7 +11,7 @@
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
         """Returns all hosts known, or those of a data centre."""
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         """Returns the next few hosts to tell an update."""
 
     def pick_pair(self) -> list[str]:
--- a/pollenfork/ratelimits/limiter.py
+++ b/pollenfork/ratelimits/limiter.py
@@ -259,7 +259,7 @@
 
     def _ask_others(self, now: float) -> None:
         """Asks some others for all that they know, once any is known."""
-        hosts = self._members.pick_round()
+        hosts = self._members.pick_fanout()
         question = self._updates.take_question(now) if hosts else None
         if question is not None:
             self._send(hosts, question)
@@ -422,7 +422,7 @@
     def _send_changes(self, now: float) -> None:
         changes = self._updates.take_changes(now)
         if changes is not None:
-            self._send(self._members.pick_round(), changes)
+            self._send(self._members.pick_fanout(), changes)
 
     def _send(
         self, hosts: list[str], message: limit_messages.LimitMessage
--- a/pollenfork/ratelimits/tests/test_limiter.py
+++ b/pollenfork/ratelimits/tests/test_limiter.py
@@ -19,7 +19,7 @@
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
         return self.hosts
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         return self.hosts[:3]
 
     def pick_pair(self) -> list[str]:
--- a/pollenfork/ratelimits/tests/world.py
+++ b/pollenfork/ratelimits/tests/world.py
@@ -46,7 +46,7 @@
             if data_centre in (None, self.world.instances[host].data_centre)
         ]
 
-    def pick_round(self) -> list[str]:
+    def pick_fanout(self) -> list[str]:
         others = [host for host in self._list_known() if host != self.host]
         if not others:
             return []
@@ -56,7 +56,7 @@
         return sorted(picked)
 
     def pick_pair(self) -> list[str]:
-        return self.pick_round()[:2]
+        return self.pick_fanout()[:2]
 
     def send_limits(self, host, message) -> None:
         self.world.send(self.host, host, message)
