--- a/pollenfork/fleet/choice.py
+++ b/pollenfork/fleet/choice.py
@@ -171,7 +171,7 @@
             places = min(runner.slots, max(1, active))
             use.places += places if limited else runner.slots
             use.active += active
-            use.reading += seen.reading + others.unread_tokens
+            use.reading += seen.reading + others.reading
         return use
 
     def settle(self, grant: outcomes.Grant) -> None:
@@ -319,10 +319,10 @@
         unread = self.caches.count_unread(seen.mark, demand.shared)
         if active >= runner.slots:
             cost += _FULL_S
-        reading = seen.reading + others.unread_tokens
+        reading = seen.reading + others.reading
         cost += (reading + demand.own_tokens) / offers.READ_RATE
         cost += active * _ACTIVE_S
-        quick = seen.quick + others.top_tier
+        quick = seen.quick + others.quick
         return offers.Offer(
             runner=runner,
             standing=seen,
--- a/pollenfork/fleet/evidence.py
+++ b/pollenfork/fleet/evidence.py
@@ -88,26 +88,28 @@
             finding: What, and how long ago.
             now: Monotonic seconds.
         """
-        self._tell_ended(finding.runner_hash, finding.sign, here=False)
+        self._tell_ended(finding.runner_hash, finding.symptom, here=False)
         runner = self._find_runner(finding.runner_hash)
         if runner is None:
             return
-        if finding.sign is Symptom.SILENT and not self._is_agreed(finding, now):
+        if finding.symptom is Symptom.SILENT and not self._is_agreed(
+            finding, now
+        ):
             return
         seen = self._find_standing(runner.id)
         before = seen.shunned_until, seen.displaced_from
-        if finding.sign is Symptom.DISPLACED:
+        if finding.symptom is Symptom.DISPLACED:
             seen.displaced_from = runner.address
         else:
             until = now - finding.age_s + _PAUSE_S
             seen.shunned_until = max(seen.shunned_until, until)
         if before == (seen.shunned_until, seen.displaced_from):
             return
-        self.counts[finding.sign] += 1
+        self.counts[finding.symptom] += 1
         _LOG.info(
             "event=runner_found runner=%s sign=%s data_centre=%s age_ms=%d",
             runner.id,
-            finding.sign.name.lower(),
+            finding.symptom.name.lower(),
             finding.data_centre,
             finding.age_s * 1000,
         )
--- a/pollenfork/fleet/tests/test_evidence.py
+++ b/pollenfork/fleet/tests/test_evidence.py
@@ -70,7 +70,7 @@
     runner = bench.runners.find(ids.EndpointId("r1"))
     bench.evidence.note(runner, Sign.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
-    assert [each.sign for each in bench.evidence.take_findings()] == [
+    assert [each.symptom for each in bench.evidence.take_findings()] == [
         Sign.DISPLACED
     ]
     assert bench.evidence.take_findings() == []
@@ -174,7 +174,7 @@
         self.chooser = choice.Chooser(known, random.Random(number))
         roster = members.Roster(everyone[number])
         for each in everyone:
-            roster.note(each, 1.0)
+            roster.record_sighting(each, 1.0)
         self.evidence = evidence.Evidence(
             known,
             self.chooser.find_standing,
--- a/pollenfork/loads/__init__.py
+++ b/pollenfork/loads/__init__.py
@@ -1,1 +1,1 @@
-"""What all instances together have under way at each runner."""
+"""Exchange of loads, store status and findings among all instances."""
--- a/pollenfork/loads/edges.py
+++ b/pollenfork/loads/edges.py
@@ -1,4 +1,4 @@
-"""What the exchange of loads needs from its instance."""
+"""What the peer exchange needs from the instance that it runs in."""
 
 from collections.abc import Iterable
 from typing import Protocol
@@ -7,75 +7,81 @@
 
 
 class Instance(Protocol):
-    """What the exchange asks of its instance and tells it."""
+    """The state that the exchange reads and updates.
+
+    The `take_` methods return each item once; the `record_` methods receive
+    what other instances sent.
+    """
 
     def read_loads(self) -> messages.LoadTable:
-        """Returns what it has under way."""
+        """Returns this instance's active requests by runner."""
 
     def take_placements(self) -> list[messages.Placement]:
-        """Returns what it has placed since the last call."""
+        """Returns the cache placements made since the last call."""
 
     def list_placements(self) -> list[messages.Placement]:
-        """Returns all that runners are believed to keep."""
+        """Returns all prompt parts that runners are believed to cache."""
 
     def list_local_placements(self) -> list[messages.Placement]:
-        """Returns what runners of its data centre are believed to keep."""
+        """Returns those cached at runners of this data centre."""
 
     def read_store_status(self, now: float) -> messages.StoreStatus | None:
-        """Returns what it knows of the store, and how old that may be."""
+        """Returns the versions known of the store's tables and their ages."""
 
-    def record_placements(self, placed: Iterable[messages.Placement]) -> None:
-        """Takes what others have placed."""
+    def record_placements(
+        self, placements: Iterable[messages.Placement]
+    ) -> None:
+        """Adds placements made by other instances."""
 
     def record_store_status(
-        self, proof: messages.StoreStatus, moment: float, teller: str
+        self, status: messages.StoreStatus, moment: float, sender: str
     ) -> None:
-        """Takes what a relay knows.
+        """Adds another instance's store status whose time is bounded.
 
         Args:
-            proof: What it knows.
-            moment: Monotonic seconds here at which that was surely current.
-            teller: Its host.
+            status: The versions it knows.
+            moment: Monotonic seconds here at which they were surely current.
+            sender: Its host.
         """
 
     def record_store_versions(
-        self, proof: messages.StoreStatus, teller: str
+        self, status: messages.StoreStatus, sender: str
     ) -> None:
-        """Takes what another one has read, which proves no moment."""
+        """Adds another instance's versions, without a time they held at."""
 
     def record_store_answer(self, moment: float) -> None:
-        """Takes about when the store answered another instance.
+        """Notes about when the store answered another instance.
 
         Args:
-            moment: Monotonic seconds here; too late by as long as the word of
-                it was under way.
+            moment: Monotonic seconds here; too late by the time that the
+                message was in transit.
         """
 
     def take_findings(self) -> list[messages.Finding]:
-        """Returns what it has found out of runners since the last call."""
+        """Returns this instance's findings since the last call."""
 
     def record_finding(self, finding: messages.Finding, now: float) -> None:
-        """Takes what another one has found out of a runner."""
+        """Adds another instance's finding about a runner."""
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
-        """Returns news of requests that runners ended under, if any."""
+        """Returns new crashes and clearances of requests, if any."""
 
     def take_suspicions_page(self, now: float) -> messages.Suspicions | None:
-        """Returns the next part of all that it knows of them, if anything."""
+        """Returns the next page of all known suspicions, if there are any."""
 
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
-        """Returns all that it knows of them, by datagram."""
+        """Returns all known suspicions, split into datagrams."""
 
     def record_suspicions(
-        self, told: messages.Suspicions, host: str, now: float
+        self, suspicions: messages.Suspicions, host: str, now: float
     ) -> None:
-        """Takes what another one knows of them.
+        """Adds the suspicions of another instance.
 
         Args:
-            told: What it knows.
-            host: Where it runs.
+            suspicions: What it sent.
+            host: The host that it runs on.
             now: Monotonic seconds.
         """
 
     def record_instance_count(self, count: int) -> None:
-        """Takes how many instances are known, this one included."""
+        """Sets the number of known instances, this one included."""
--- a/pollenfork/loads/findings.py
+++ b/pollenfork/loads/findings.py
@@ -1,24 +1,30 @@
-"""Which findings about runners an instance passes on, and how often."""
+"""Decides which findings about runners to pass on, and how often."""
 
 import msgspec
 
 from pollenfork.loads import messages
 
-# Periods in which a finding is passed on; see `gossip` for to how many.
+# Ticks in which a finding is passed on; `gossip` decides to how many hosts.
 _ROUNDS = 3
-# The same is news again after this long, in seconds: whoever tries a runner
-# once more after a pause tells what came of it.
-_RENEWED_S = 0.4
-# Older ones are of no use to anybody, in seconds.
+# An equal finding this much later, in seconds, is passed on again: an instance
+# that retries a runner after a pause reports the new result.
+_REPEAT_AFTER_S = 0.4
+# Older findings are of no use to other instances, in seconds.
 _EXPIRY_S = 3.0
-# Witnesses of silence that are told of each runner: two may prove it.
-_WITNESSES = 3
-# Findings in one datagram, 25 bytes each; the others follow.
-_EACH = 40
+# Observers of silence to pass on for each runner; two may suffice as evidence.
+_MAX_OBSERVERS = 3
+# Findings in one datagram, 25 bytes each; the next tick sends the rest.
+_MAX_PER_DATAGRAM = 40
 
 
-class _Kept(msgspec.Struct):
-    """A finding, its moment in monotonic seconds, and how often to tell it."""
+class _Entry(msgspec.Struct):
+    """A finding to pass on.
+
+    Attributes:
+        finding: The finding.
+        moment: Monotonic seconds at which it was made.
+        rounds_left: Ticks in which it is still to be sent.
+    """
 
     finding: messages.Finding
     moment: float
@@ -26,36 +32,42 @@
 
 
 class Outbox:
-    """Keeps what was found lately, here and elsewhere."""
+    """Collects recent findings of this instance and of others."""
 
     def __init__(self) -> None:
-        self._kept: dict[tuple[int, messages.Symptom, int], _Kept] = {}
+        self._entries: dict[tuple[int, messages.Symptom, int], _Entry] = {}
 
     def take(self, finding: messages.Finding, now: float) -> bool:
-        """Takes a finding; returns whether it is news here."""
+        """Adds a finding; returns whether it was new."""
         moment = now - max(0.0, finding.age_s)
         if finding.age_s > _EXPIRY_S:
             return False
-        silent = finding.sign is messages.Symptom.SILENT
+        silent = finding.symptom is messages.Symptom.SILENT
         key = (
             finding.runner_hash,
-            finding.sign,
+            finding.symptom,
             finding.observer if silent else 0,
         )
-        known = self._kept.get(key)
-        if known is not None and moment < known.moment + _RENEWED_S:
+        known = self._entries.get(key)
+        if known is not None and moment < known.moment + _REPEAT_AFTER_S:
             return False
-        if silent and known is None and self._is_witnessed(finding.runner_hash):
+        if (
+            silent
+            and known is None
+            and self._has_enough_observers(finding.runner_hash)
+        ):
             return False
-        self._kept[key] = _Kept(finding, moment)
+        self._entries[key] = _Entry(finding, moment)
         return True
 
     def choose(self, now: float) -> tuple[messages.Finding, ...]:
-        """Returns what to tell in this period."""
-        for key, kept in list(self._kept.items()):
-            if now - kept.moment > _EXPIRY_S:
-                del self._kept[key]
-        due = [each for each in self._kept.values() if each.rounds_left][:_EACH]
+        """Returns the findings to send in this tick."""
+        for key, entry in list(self._entries.items()):
+            if now - entry.moment > _EXPIRY_S:
+                del self._entries[key]
+        due = [each for each in self._entries.values() if each.rounds_left][
+            :_MAX_PER_DATAGRAM
+        ]
         for each in due:
             each.rounds_left -= 1
         return tuple(
@@ -65,8 +77,10 @@
             for each in due
         )
 
-    def _is_witnessed(self, place: int) -> bool:
-        """Returns whether enough others have found a runner silent."""
+    def _has_enough_observers(self, runner_hash: int) -> bool:
+        """Returns whether enough instances found a runner silent."""
         silent = messages.Symptom.SILENT
-        known = [key for key in self._kept if key[:2] == (place, silent)]
-        return len(known) >= _WITNESSES
+        known = [
+            key for key in self._entries if key[:2] == (runner_hash, silent)
+        ]
+        return len(known) >= _MAX_OBSERVERS
--- a/pollenfork/loads/gossip.py
+++ b/pollenfork/loads/gossip.py
@@ -1,87 +1,88 @@
-"""Whom an instance tells of the store's news by itself, past the relays.
+"""Gossips the store's versions from instance to instance, beside the relays.
 
-Rumour mongering with regular exchanges beside it (Demers et al., "Epidemic
-algorithms for replicated database maintenance", 1987). A relay that dies, or is
-cut off, is missed by its reporters after 1.2 s only; without a second way, news
-of a leaving runner reached them 2.05 s and more after the first instance knew.
+Rumour mongering combined with anti-entropy exchanges (Demers et al., "Epidemic
+algorithms for replicated database maintenance", 1987). Reporters take 1.2 s to
+notice that a relay has died or is cut off; with the relays as the only path,
+news of a leaving runner arrived 2.05 s or more after the first instance had it.
 """
 
 from pollenfork.loads import members
 from pollenfork.loads import messages
 
-# Periods in which a newer version is told, and to how many instances in each:
-# of its own data centre, and elsewhere. Who hears of it fetches the table and
-# tells in turn, so of 40 instances one in 400 is left out at the first go
-# (e^-6), and hears of it with the next exchange.
+# A new version is sent in this many ticks, in each of them to this many hosts
+# of the own data centre and of the others. Receivers fetch the table and gossip
+# in turn: of 40 instances one in 400 (e^-6) misses the first spread and learns
+# the version from the next exchange.
 _ROUNDS = 3
-_NEAR = 2
-_FAR = 1
-# One other instance is told this often, in seconds, in its own data centre and
-# elsewhere by turns: some 0.3 KB/s with the answers.
+_NEAR_HOSTS = 2
+_FAR_HOSTS = 1
+# Interval of the exchanges with one other instance, in seconds, alternately in
+# the own data centre and elsewhere: some 0.3 KB/s including the answers.
 _EXCHANGE_S = 0.3
-# An answer is worth a datagram when its proof is this much younger, in seconds.
-_YOUNGER_S = 0.2
+# An answer without newer versions is sent only if its status is this much more
+# recent, in seconds.
+_MORE_RECENT_S = 0.2
 
 
 class Gossip:
-    """Decides whom to tell; sends nothing itself."""
+    """Chooses the hosts to gossip with; performs no I/O."""
 
     def __init__(self, me: messages.Member, roster: members.Roster) -> None:
-        """Starts with nothing told.
+        """Starts with no version sent.
 
         Args:
             me: This instance.
-            roster: The members known.
+            roster: The known members.
         """
         self._me = me
         self._roster = roster
-        self._told = (0, 0)
+        self._sent_versions = (0, 0)
         self._rounds_left = 0
         self._exchange_at = 0.0
         self._near_next = True
-        self._last: dict[bool, int] = {}
+        self._last_ranks: dict[bool, int] = {}
 
     def tick(
-        self, proof: messages.StoreStatus | None, now: float
+        self, status: messages.StoreStatus | None, now: float
     ) -> list[tuple[str, messages.Gossip]]:
-        """Returns what to send in this period, by host.
+        """Returns the messages of this tick, with their hosts.
 
         Args:
-            proof: What is known here of the store, if anything.
+            status: What this instance knows of the store, if anything.
             now: Monotonic seconds.
         """
-        if proof is None:
+        if status is None:
             return []
-        message = messages.Gossip(self._me.data_centre, proof, now)
-        return [(host, message) for host in self._choose(proof, now)]
+        message = messages.Gossip(self._me.data_centre, status, now)
+        return [(host, message) for host in self._choose(status, now)]
 
     def answer(
         self,
         message: messages.Gossip,
-        proof: messages.StoreStatus | None,
+        status: messages.StoreStatus | None,
         now: float,
     ) -> messages.Gossip | None:
-        """Returns what to answer, if that is worth a datagram."""
-        if proof is None or message.echo:
+        """Returns the answer to a message; None: it isn't worth a datagram."""
+        if status is None or message.echo:
             return None
-        if not _is_better(proof, message.proof):
+        if not _is_newer(status, message.status):
             return None
         return messages.Gossip(
-            self._me.data_centre, proof, now, message.sent_at
+            self._me.data_centre, status, now, message.sent_at
         )
 
     def pick_fanout(self) -> list[str]:
-        """Returns the hosts to tell of news in one period."""
-        return self._pick(True, _NEAR) + self._pick(False, _FAR)
+        """Returns the hosts to send an update to in one tick."""
+        return self._pick(True, _NEAR_HOSTS) + self._pick(False, _FAR_HOSTS)
 
     def pick_pair(self) -> list[str]:
-        """Returns a host of this data centre and one elsewhere."""
+        """Returns a host of this data centre and one of another."""
         return self._pick(True, 1) + self._pick(False, 1)
 
-    def _choose(self, proof: messages.StoreStatus, now: float) -> list[str]:
-        versions = proof.configuration, proof.runners
-        if versions != self._told:
-            self._told = versions
+    def _choose(self, status: messages.StoreStatus, now: float) -> list[str]:
+        versions = status.configuration, status.runners
+        if versions != self._sent_versions:
+            self._sent_versions = versions
             self._rounds_left = _ROUNDS
         if self._rounds_left:
             self._rounds_left -= 1
@@ -97,30 +98,28 @@
     def _pick(self, near: bool, count: int) -> list[str]:
         """Returns the next hosts of this data centre, or of the others.
 
-        Each instance has an order of its own, so that what one leaves out
-        another one tells.
+        Every instance goes through the hosts in an order of its own, so that
+        hosts left out by one are picked by another.
         """
-        ranks = sorted(
+        ranked = sorted(
             (messages.hash_name(f"{self._me.host} {host}".encode()), host)
             for host in self._roster.list_hosts(near)
         )
-        if not ranks:
+        if not ranked:
             return []
-        last = self._last.get(near, -1)
+        last = self._last_ranks.get(near, -1)
         first = next(
-            (at for at, (rank, _) in enumerate(ranks) if rank > last), 0
+            (index for index, (rank, _) in enumerate(ranked) if rank > last), 0
         )
-        picked = (ranks[first:] + ranks[:first])[:count]
-        self._last[near] = picked[-1][0]
+        picked = (ranked[first:] + ranked[:first])[:count]
+        self._last_ranks[near] = picked[-1][0]
         return [host for _, host in picked]
 
 
-def _is_better(
-    mine: messages.StoreStatus, theirs: messages.StoreStatus
-) -> bool:
-    """Returns whether one proof would tell the other's holder anything."""
+def _is_newer(mine: messages.StoreStatus, theirs: messages.StoreStatus) -> bool:
+    """Returns whether a status has anything that the other one lacks."""
     return (
         mine.configuration > theirs.configuration
         or mine.runners > theirs.runners
-        or mine.age_s + _YOUNGER_S < theirs.age_s
+        or mine.age_s + _MORE_RECENT_S < theirs.age_s
     )
--- a/pollenfork/loads/limit_messages.py
+++ b/pollenfork/loads/limit_messages.py
@@ -4,45 +4,45 @@
 
 
 class RateLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What a runner has said of its rate limit, and when.
+    """A rate limit that a runner stated in an answer.
 
     Attributes:
-        runner: A hash of the runner's start.
+        runner: A hash of the runner's incarnation.
         rate: Requests a second from all instances together; None: no limit.
-        asked_ms: How long ago the request was sent whose answer said so.
-        heard_ms: How long ago that answer came.
+        request_age_ms: How long ago the answered request was sent.
+        answer_age_ms: How long ago that answer arrived.
     """
 
     runner: int
     rate: float | None
-    asked_ms: int
-    heard_ms: int
+    request_age_ms: int
+    answer_age_ms: int
 
 
 class LimitUpdates(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """An instance passes on what runners have said.
+    """An instance passes on the limits that runners stated.
 
     Attributes:
-        data_centre: Where it runs.
-        limits: What it knows.
-        asks: Whether it wants to be told all.
-        informed: Whether it has been told what others know itself.
+        data_centre: The sender's data centre.
+        limits: The limits that it knows.
+        wants_all: Whether it requests all limits known to the receiver.
+        informed: Whether it has received the limits known to others itself.
     """
 
     data_centre: str
     limits: tuple[RateLimit, ...] = ()
-    asks: bool = False
+    wants_all: bool = False
     informed: bool = True
 
 
 class PermitRequest(msgspec.Struct, frozen=True, array_like=True, tag="q"):
-    """An instance asks a runner's coordinator for leave to send a request.
+    """Requests a permit to send one request, from a runner's coordinator.
 
     Attributes:
-        data_centre: Where it runs.
-        number: Tells its requests apart.
+        data_centre: The sender's data centre.
+        number: Identifies the permit request at its sender.
         limit: The runner, and what is known of its limit.
-        runner_data_centre: Where the runner runs.
+        runner_data_centre: The runner's data centre.
         tier: The request's urgency.
     """
 
@@ -54,15 +54,15 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """A coordinator answers a permit request.
+    """The coordinator's answer to a permit request.
 
     Attributes:
-        data_centre: Where it runs.
-        number: The request's.
+        data_centre: The sender's data centre.
+        number: The number of the permit request.
         granted: Whether one request may be sent now.
         wait_ms: When to ask again, if not.
         coordinator: The host to ask instead; empty: this one.
-        limit: What it knows of the runner's limit; None: nothing.
+        limit: The runner's limit as the sender knows it; None: unknown.
     """
 
     data_centre: str
@@ -74,11 +74,11 @@
 
 
 class CoordinatorCall(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """An instance that is asked for permits tells another candidate so.
+    """A candidate that is asked for permits contacts another candidate.
 
     Attributes:
-        data_centre: Where it runs.
-        runner: A hash of the runner's start.
+        data_centre: The sender's data centre.
+        runner: A hash of the runner's incarnation.
     """
 
     data_centre: str
@@ -86,17 +86,17 @@
 
 
 class CoordinatorReply(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """The answer: the candidate is there, and yields if it ranks lower.
+    """Answers a call: the sender is up, and yields if it ranks lower.
 
     Attributes:
-        data_centre: Where it runs.
-        runner: A hash of the runner's start.
-        leaves: Whether it stops and grants nothing any more.
+        data_centre: The sender's data centre.
+        runner: A hash of the runner's incarnation.
+        leaving: Whether the sender is stopping and grants no more permits.
     """
 
     data_centre: str
     runner: int
-    leaves: bool = False
+    leaving: bool = False
 
 
 LimitMessage = (
--- a/pollenfork/loads/links.py
+++ b/pollenfork/loads/links.py
@@ -1,4 +1,4 @@
-"""What an instance last told another, and what it heard."""
+"""What was last exchanged with another instance, and sums of loads."""
 
 from collections.abc import Iterable
 
@@ -6,63 +6,69 @@
 
 from pollenfork.loads import messages
 
-# Placements that wait to be told; more are left out, oldest first. It is what
-# 45 runners keep in shared parts.
-_PLACED_LIMIT = 8000
+# Placements that wait to be sent; the oldest are dropped beyond this. It is the
+# number of shared parts that 45 runners cache.
+_MAX_QUEUED_PLACEMENTS = 8000
 # Placements in one datagram: 12 bytes each, and a lost datagram loses few.
-_PLACED_EACH = 100
-# Unchanged loads are told again this often, as datagrams get lost.
+_PLACEMENTS_PER_DATAGRAM = 100
+# Unchanged loads are sent again at this interval, as datagrams get lost.
 _REPEAT_S = 0.3
 
 
 class ReceivedLoads(msgspec.Struct):
-    """What another instance has told."""
+    """The loads that another instance sent last.
+
+    Attributes:
+        loads: The loads.
+        received_at: Monotonic seconds at which they arrived.
+        sent_at: The sender's clock as it sent them.
+    """
 
     loads: messages.LoadTable
-    at: float
+    received_at: float
     sent_at: float = 0.0
 
 
 class Link(msgspec.Struct):
-    """What goes to one address.
+    """What is sent to another instance.
 
     Attributes:
-        loads: What was last told.
-        at: When that was.
-        placed: Placements to tell.
-        proof: What was last told of the store's versions.
+        loads: The loads sent last.
+        sent_at: When that was.
+        placements: Placements that wait to be sent.
+        status: The store's versions sent last.
     """
 
     loads: messages.LoadTable = {}
-    at: float = -_REPEAT_S
-    placed: list[messages.Placement] = msgspec.field(default_factory=list)
-    proof: messages.StoreStatus | None = None
+    sent_at: float = -_REPEAT_S
+    placements: list[messages.Placement] = msgspec.field(default_factory=list)
+    status: messages.StoreStatus | None = None
 
-    def add_placed(self, placed: Iterable[messages.Placement]) -> None:
-        """Takes placements to tell."""
-        self.placed.extend(placed)
-        del self.placed[:-_PLACED_LIMIT]
+    def add_placements(self, placements: Iterable[messages.Placement]) -> None:
+        """Queues placements to send."""
+        self.placements.extend(placements)
+        del self.placements[:-_MAX_QUEUED_PLACEMENTS]
 
     @property
-    def next_placed(self) -> tuple[messages.Placement, ...]:
+    def next_placements(self) -> tuple[messages.Placement, ...]:
         """The placements for the next datagram."""
-        return tuple(self.placed[:_PLACED_EACH])
+        return tuple(self.placements[:_PLACEMENTS_PER_DATAGRAM])
 
-    def note_told(self, loads: messages.LoadTable, now: float) -> None:
-        """Notes that loads and the next placements were told."""
+    def record_sent(self, loads: messages.LoadTable, now: float) -> None:
+        """Notes that loads and the next placements were sent."""
         self.loads = loads
-        self.at = now
-        del self.placed[:_PLACED_EACH]
+        self.sent_at = now
+        del self.placements[:_PLACEMENTS_PER_DATAGRAM]
 
 
-def is_due(line: Link, loads: messages.LoadTable, now: float) -> bool:
-    """Returns whether there is something to tell, or it is time to repeat."""
-    changed = bool(line.placed) or line.loads != loads
-    return changed or now - line.at >= _REPEAT_S
+def is_due(link: Link, loads: messages.LoadTable, now: float) -> bool:
+    """Returns whether anything changed, or it is time to repeat the loads."""
+    changed = bool(link.placements) or link.loads != loads
+    return changed or now - link.sent_at >= _REPEAT_S
 
 
 def add(tables: list[messages.LoadTable]) -> messages.LoadTable:
-    """Returns the loads of several instances added up."""
+    """Returns the sum of several load tables."""
     total: messages.LoadTable = {}
     for table in tables:
         for runner, load in table.items():
@@ -70,8 +76,8 @@
             if known is not None:
                 load = messages.Load(
                     known.active + load.active,
-                    known.unread_tokens + load.unread_tokens,
-                    known.top_tier + load.top_tier,
+                    known.reading + load.reading,
+                    known.quick + load.quick,
                 )
             total[runner] = load
     return total
@@ -80,7 +86,7 @@
 def subtract(
     total: messages.LoadTable, part: messages.LoadTable
 ) -> messages.LoadTable:
-    """Returns a total without the loads of one that is in it."""
+    """Returns a sum without one of the tables that it contains."""
     rest = dict(total)
     for runner, load in part.items():
         known = rest[runner]
@@ -89,20 +95,20 @@
             continue
         rest[runner] = messages.Load(
             known.active - load.active,
-            known.unread_tokens - load.unread_tokens,
-            known.top_tier - load.top_tier,
+            known.reading - load.reading,
+            known.quick - load.quick,
         )
     return rest
 
 
-def has_news(line: Link, proof: messages.StoreStatus | None) -> bool:
-    """Returns whether the store's tables have changed since the last word."""
-    told = line.proof
-    if proof is None:
+def has_new_versions(link: Link, status: messages.StoreStatus | None) -> bool:
+    """Returns whether the store's tables changed since the last message."""
+    sent = link.status
+    if status is None:
         return False
-    if told is None:
+    if sent is None:
         return True
-    return (proof.configuration, proof.runners) != (
-        told.configuration,
-        told.runners,
+    return (status.configuration, status.runners) != (
+        sent.configuration,
+        sent.runners,
     )
--- a/pollenfork/loads/messages.py
+++ b/pollenfork/loads/messages.py
@@ -18,20 +18,21 @@
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """Requests under way at one runner.
+    """Active requests at one runner.
 
     Attributes:
-        active: Requests sent to it and not ended.
-        reading: Their prompt tokens that it has yet to read.
-        quick: Those of them that are of their service's most urgent tier.
+        active: Requests sent to it that have not ended.
+        reading: Their prompt tokens that it has yet to process.
+        quick: Those of the requests that are of their service's most urgent
+            tier.
     """
 
     active: int = 0
-    unread_tokens: int = 0
-    top_tier: int = 0
+    reading: int = 0
+    quick: int = 0
 
 
-# Runners by a hash of their id: the ids are three times as long as the rest.
+# Loads by a hash of the runner's id: an id is three times as long as a load.
 LoadTable = dict[int, Load]
 
 
@@ -43,31 +44,31 @@
 
 
 class Sighting(msgspec.Struct, frozen=True, array_like=True):
-    """A member, and how long ago somebody heard of it, in seconds."""
+    """A member, and how long ago any instance heard from it, in seconds."""
 
     member: Member
     age_s: float
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """A new instance asks whom there is."""
+    """A new instance requests the list of members."""
 
     data_centre: str
 
 
 class Members(msgspec.Struct, frozen=True, array_like=True, tag="m"):
-    """The answer to `Hello`, and a relay's regular news."""
+    """The answer to `Hello`; relays also send it regularly."""
 
     members: tuple[Sighting, ...]
 
 
 class Placement(msgspec.Struct, frozen=True, array_like=True):
-    """A runner was given a shared part of a prompt to read, or lost it.
+    """A shared part of a prompt was cached at a runner, or evicted.
 
     Attributes:
         part: A hash of the part.
         runner: A hash of the runner.
-        kept: Whether it keeps the part now.
+        kept: Whether the runner caches the part now.
     """
 
     part: int
@@ -76,14 +77,14 @@
 
 
 class StoreStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance knows of the store, and how old that may be.
+    """What an instance knows of the store's tables, and how recent that is.
 
     Attributes:
         configuration: The store's version of the configuration's last change.
         runners: The store's version of the runners' last change.
-        age_s: Seconds since there was proof that the configuration is current.
-        answered_s: Seconds since the store answered anyone; None where the
-            teller doesn't say, as earlier versions don't.
+        age_s: Seconds since the configuration was known to be current.
+        answered_s: Seconds since the store answered any instance; None: sent
+            by an earlier version, which doesn't tell.
     """
 
     configuration: int
@@ -93,133 +94,133 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """An instance tells its relay what it has under way.
+    """An instance reports its loads to its relay.
 
     Attributes:
-        data_centre: Where it runs.
-        loads: Its own requests.
-        placed: What it has placed since its last report.
-        sent_at: Its own clock; the relay's answer repeats it.
-        urgent: Whether a long prompt is among the news.
-        proof: What it knows of the store, if anything: the store may turn
-            all relays away and not this one.
+        data_centre: The sender's data centre.
+        loads: The requests that it has active.
+        placements: Cache placements since its last report.
+        sent_at: Its own clock; the relay's answer echoes it.
+        urgent: Whether a long prompt is among the changes.
+        status: What it knows of the store, if anything: the store may refuse
+            all relays but not this instance.
         echo: The `sent_at` of the relay's last answer.
     """
 
     data_centre: str
     loads: LoadTable
-    placed: tuple[Placement, ...] = ()
+    placements: tuple[Placement, ...] = ()
     sent_at: float = 0.0
     urgent: bool = False
-    proof: StoreStatus | None = None
+    status: StoreStatus | None = None
     echo: float = 0.0
 
 
 class DataCentreLoads(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """A relay tells the other relays what its reporters have under way.
+    """A relay sends the other relays the summed loads of its data centre.
 
     Attributes:
-        data_centre: Where it runs.
-        loads: Its reporters' requests and its own.
-        placed: What they have placed.
-        urgent: Whether a long prompt is among the news.
-        sent_at: Its own clock; the other's next sum repeats it.
-        echo: The `sent_at` of the other's last sum.
-        proof: What it knows of the store.
+        data_centre: The sender's data centre.
+        loads: The requests of its reporters and its own.
+        placements: Their cache placements.
+        urgent: Whether a long prompt is among the changes.
+        sent_at: Its own clock; the receiver's next message echoes it.
+        echo: The `sent_at` of the receiver's last message.
+        status: What it knows of the store.
     """
 
     data_centre: str
     loads: LoadTable
-    placed: tuple[Placement, ...] = ()
+    placements: tuple[Placement, ...] = ()
     urgent: bool = False
     sent_at: float = 0.0
     echo: float = 0.0
-    proof: StoreStatus | None = None
+    status: StoreStatus | None = None
 
 
 class OtherLoads(msgspec.Struct, frozen=True, array_like=True, tag="o"):
-    """A relay tells a reporter what all others have under way.
+    """A relay sends a reporter the summed loads of all other instances.
 
     Attributes:
-        loads: Requests of all others.
-        placed: What others have placed since the last time.
+        loads: The requests of all others.
+        placements: Their cache placements since the last message.
         echo: The `sent_at` of the reporter's last report.
-        proof: What the relay knows of the store, if anything.
-        sent_at: The relay's clock; the reporter's next report repeats it.
+        status: What the relay knows of the store, if anything.
+        sent_at: The relay's clock; the reporter's next report echoes it.
     """
 
     loads: LoadTable
-    placed: tuple[Placement, ...] = ()
+    placements: tuple[Placement, ...] = ()
     echo: float = 0.0
-    proof: StoreStatus | None = None
+    status: StoreStatus | None = None
     sent_at: float = 0.0
 
 
 class Gossip(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """An instance tells any other what it knows of the store.
+    """An instance sends any other what it knows of the store.
 
     Attributes:
-        data_centre: Where it runs.
-        proof: What it knows.
-        sent_at: Its own clock; an answer repeats it.
-        echo: The `sent_at` of what it answers; 0 where it asks.
+        data_centre: The sender's data centre.
+        status: What it knows.
+        sent_at: Its own clock; an answer echoes it.
+        echo: The `sent_at` of the message that this answers; 0: not an answer.
     """
 
     data_centre: str
-    proof: StoreStatus
+    status: StoreStatus
     sent_at: float = 0.0
     echo: float = 0.0
 
 
 class Symptom(enum.Enum):
-    """What a runner's address has shown an instance."""
+    """What an instance found when it connected to a runner's address."""
 
-    DISPLACED = "d"  # Another runner answers there: this one is gone.
-    REFUSED = "r"  # Nobody listens there.
-    SILENT = "s"  # No connection came about; the way may be cut.
+    DISPLACED = "d"  # Another runner answers there: this one has ended.
+    REFUSED = "r"  # Nothing listens there.
+    SILENT = "s"  # No connection was established; the link may be down.
 
 
 class Finding(msgspec.Struct, frozen=True, array_like=True):
-    """What an instance has found out of a runner by itself.
+    """What an instance found out about a runner by itself.
 
     Attributes:
-        place: A hash of the runner's start and its address.
-        sign: What was found.
+        runner_hash: A hash of the runner's incarnation and its address.
+        symptom: What was found.
         age_s: How long ago, in seconds.
-        data_centre: Where the instance runs that found it.
-        witness: A hash of that instance's host.
+        data_centre: The data centre of the instance that found it.
+        observer: A hash of that instance's host.
     """
 
     runner_hash: int
-    sign: Symptom
+    symptom: Symptom
     age_s: float = 0.0
     data_centre: str = ""
     observer: int = 0
 
 
 class Findings(msgspec.Struct, frozen=True, array_like=True, tag="f"):
-    """An instance passes on what was found out of runners.
+    """An instance passes on findings about runners.
 
     Attributes:
-        data_centre: Where it runs.
-        found: What it or others have found.
+        data_centre: The sender's data centre.
+        findings: Its own findings and those of others.
     """
 
     data_centre: str
-    found: tuple[Finding, ...]
+    findings: tuple[Finding, ...]
 
 
 class RunnerCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A runner ended while it ran a request.
+    """A runner crashed while it ran a request.
 
     Attributes:
-        digest: The request's.
-        place: A hash of the runner's start and its address.
+        digest: The request's digest.
+        runner_hash: A hash of the runner's incarnation and its address.
         sent_ms: How long ago the request was sent there.
-        ended_ms: How long ago the runner ended.
-        witness: A hash of the host of the instance that had sent it.
-        made_ms: How long ago its connection was made; None where the teller
-            doesn't say, as earlier versions don't.
+        ended_ms: How long ago the runner crashed.
+        sender: A hash of the host of the instance that had sent it.
+        made_ms: How long ago its connection was established; None: sent by an
+            earlier version, which doesn't tell.
     """
 
     digest: int
@@ -231,12 +232,12 @@
 
 
 class Clearance(msgspec.Struct, frozen=True, array_like=True):
-    """A runner has answered a request, or an operator vouches for it.
+    """A runner has answered a request, or an operator has released it.
 
     Attributes:
-        digest: The request's.
-        age_ms: How long ago; ends before that no longer speak against it.
-        lifted: Whether no runner has answered it, as far as is known.
+        digest: The request's digest.
+        age_ms: How long ago; crashes before that no longer count against it.
+        lifted: Whether no runner is known to have answered it.
     """
 
     digest: int
@@ -245,19 +246,20 @@
 
 
 class Suspicions(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """An instance passes on which requests runners ended under.
+    """An instance passes on under which requests runners crashed.
 
     Attributes:
-        data_centre: Where it runs.
-        ends: Ends of runners.
-        cleared: Requests that are known to be well.
-        asks: Whether it wants to be told all, as it may have missed some.
-        kept: Digests of requests that it keeps back itself. News is passed on
-            unchecked; for these it stands.
+        data_centre: The sender's data centre.
+        crashes: Crashes of runners.
+        cleared: Requests known to be harmless.
+        wants_all: Whether it requests everything known to the receiver, as it
+            may have missed messages.
+        quarantined: Digests of requests that the sender itself quarantines.
+            Crashes are passed on unverified; for these it has verified them.
     """
 
     data_centre: str
-    ends: tuple[RunnerCrash, ...] = ()
+    crashes: tuple[RunnerCrash, ...] = ()
     cleared: tuple[Clearance, ...] = ()
     wants_all: bool = False
     quarantined: tuple[int, ...] = ()
@@ -268,7 +270,7 @@
 
     Attributes:
         window: The window's number.
-        counts: How many, by account.
+        counts: The number of requests, by account.
     """
 
     window: int
@@ -276,15 +278,15 @@
 
 
 class Tally(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """An instance tells the holder of the duties what it has counted.
+    """An instance sends the duty holder the requests that it counted.
 
     Attributes:
-        data_centre: Where it runs.
-        start: Tells its starts apart.
-        counted: Counts that the holder doesn't have.
-        through: Unix seconds up to which it has told all.
-        wall: Its own time of day in Unix seconds.
-        sent_at: Its own clock; the answer repeats it.
+        data_centre: The sender's data centre.
+        start: Identifies the sender's incarnation.
+        counted: Counts that the holder lacks.
+        through: Unix seconds up to which the counts are complete.
+        wall: The sender's time of day in Unix seconds.
+        sent_at: Its monotonic clock; the answer echoes it.
     """
 
     data_centre: str
@@ -296,15 +298,15 @@
 
 
 class HolderNotice(msgspec.Struct, frozen=True, array_like=True, tag="w"):
-    """Says who holds the duties.
+    """Announces the duty holder.
 
     Attributes:
-        data_centre: Where the teller runs.
-        holder: The holder's host; empty: nobody is known to.
-        start: Tells the starts of the teller apart.
-        age_s: How long ago the holder itself said so, in seconds.
+        data_centre: The sender's data centre.
+        holder: The holder's host; empty: no holder is known.
+        start: Identifies the sender's incarnation.
+        age_s: How long ago the holder itself announced it, in seconds.
         echo: The `sent_at` of the tally that this answers.
-        time: Unix seconds as the holder has them; 0 where another one tells.
+        time: The holder's time in Unix seconds; 0: not sent by the holder.
     """
 
     data_centre: str
@@ -342,12 +344,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns a message as a datagram."""
+    """Returns the datagram of a message."""
     return _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message | None:
-    """Returns a datagram's message; None where it is none."""
+    """Returns the message of a datagram; None: it can't be decoded."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError:
@@ -355,5 +357,5 @@
 
 
 def hash_name(name: bytes) -> int:
-    """Returns what stands for a runner or a part in datagrams."""
+    """Returns the hash that identifies a runner or a part in datagrams."""
     return xxhash.xxh32_intdigest(name)
--- a/pollenfork/loads/tests/test_exchange.py
+++ b/pollenfork/loads/tests/test_exchange.py
@@ -9,59 +9,59 @@
 
 
 class FakeInstance:
-    """What an instance has under way, and what it was told."""
+    """Keeps what the exchange passes to its instance."""
 
     def __init__(self, number: int) -> None:
         self.loads = {number: messages.Load(1, 100 + number)}
-        self.placed: list[messages.Placement] = []
-        self.kept: list[messages.Placement] = []
-        self.kept_here: list[messages.Placement] = []
-        self.heard: set[messages.Placement] = set()
-        self.proof: messages.StoreStatus | None = None
-        self.answered: list[float] = []
-        self.proven: list[tuple[messages.StoreStatus, float]] = []
+        self.placements: list[messages.Placement] = []
+        self.cached: list[messages.Placement] = []
+        self.cached_locally: list[messages.Placement] = []
+        self.received: set[messages.Placement] = set()
+        self.status: messages.StoreStatus | None = None
+        self.store_answers: list[float] = []
+        self.statuses: list[tuple[messages.StoreStatus, float]] = []
         self.versions: set[tuple[messages.StoreStatus, str]] = set()
-        self.found: list[messages.Finding] = []
-        self.found_elsewhere: list[messages.Finding] = []
+        self.findings: list[messages.Finding] = []
+        self.received_findings: list[messages.Finding] = []
 
     def read_loads(self) -> messages.LoadTable:
         return dict(self.loads)
 
     def take_placements(self) -> list[messages.Placement]:
-        placed, self.placed = self.placed, []
-        return placed
+        placements, self.placements = self.placements, []
+        return placements
 
     def list_placements(self) -> list[messages.Placement]:
-        return list(self.kept)
+        return list(self.cached)
 
     def list_local_placements(self) -> list[messages.Placement]:
-        return list(self.kept_here)
+        return list(self.cached_locally)
 
     def read_store_status(self, now: float) -> messages.StoreStatus | None:
-        return self.proof
+        return self.status
 
-    def record_placements(self, placed) -> None:
-        self.heard.update(placed)
+    def record_placements(self, placements) -> None:
+        self.received.update(placements)
 
     def record_store_status(
-        self, proof: messages.StoreStatus, moment: float, teller: str
+        self, status: messages.StoreStatus, moment: float, sender: str
     ) -> None:
-        self.proven.append((proof, moment))
+        self.statuses.append((status, moment))
 
     def record_store_answer(self, moment: float) -> None:
-        self.answered.append(moment)
+        self.store_answers.append(moment)
 
     def record_store_versions(
-        self, proof: messages.StoreStatus, teller: str
+        self, status: messages.StoreStatus, sender: str
     ) -> None:
-        self.versions.add((proof, teller))
+        self.versions.add((status, sender))
 
     def take_findings(self) -> list[messages.Finding]:
-        found, self.found = self.found, []
-        return found
+        findings, self.findings = self.findings, []
+        return findings
 
     def record_finding(self, finding: messages.Finding, now: float) -> None:
-        self.found_elsewhere.append(finding)
+        self.received_findings.append(finding)
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
         return None
@@ -72,24 +72,24 @@
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
         return [messages.Suspicions("")]
 
-    def record_suspicions(self, told, host, now) -> None:
+    def record_suspicions(self, suspicions, host, now) -> None:
         pass
 
     def record_instance_count(self, count: int) -> None:
-        """Takes nothing."""
+        """Ignores the count."""
 
 
 class Network:
-    """Instances of three data centres on a clock that tests advance."""
+    """Simulates instances of three data centres on a clock set by tests."""
 
     def __init__(self, count: int, loss: float = 0.0) -> None:
         self.now = 100.0
         self.loss = loss
         self.rng = random.Random(4)
         self.down: set[str] = set()
-        self.apart: set[str] = set()
+        self.partitioned: set[str] = set()
         self.sent = 0
-        self.crossed = 0
+        self.crossings = 0
         self.instances: dict[str, FakeInstance] = {}
         self.exchanges: dict[str, core.Exchange] = {}
         self.data_centres: dict[str, str] = {}
@@ -123,10 +123,12 @@
             crossing = (
                 self.data_centres.get(send.to.host) != self.data_centres[sender]
             )
-            self.crossed += crossing
+            self.crossings += crossing
             if self.rng.random() < self.loss or send.to.host in self.down:
                 continue
-            if (send.to.host in self.apart) != (sender in self.apart):
+            if (send.to.host in self.partitioned) != (
+                sender in self.partitioned
+            ):
                 continue
             message = messages.decode(messages.encode(send.message))
             exchange = self.exchanges.get(send.to.host)
@@ -144,14 +146,14 @@
             assert self.exchanges[host].read_others(self.now) == expected
 
 
-def test_everyone_learns_what_all_others_have_under_way() -> None:
+def test_every_instance_learns_the_loads_of_all_others() -> None:
     network = Network(8)
     network.run(4.0)
     network.check_totals()
     assert {each.instances for each in network.exchanges.values()} == {8}
 
 
-def test_lost_datagrams_only_delay_the_news() -> None:
+def test_lost_datagrams_only_delay_updates() -> None:
     network = Network(12, loss=0.2)
     network.run(8.0)
     network.loss = 0.0
@@ -167,7 +169,7 @@
     network.check_totals()
 
 
-def test_a_data_centre_cut_off_knows_its_own() -> None:
+def test_a_partitioned_data_centre_knows_its_own_loads() -> None:
     network = Network(9)
     network.run(4.0)
     cut = {host for host in network.exchanges if host.startswith("10.2.")}
@@ -183,7 +185,7 @@
     network.check_totals()
 
 
-def test_one_that_joins_later_is_found_through_a_seed() -> None:
+def test_an_instance_that_joins_later_is_found_through_a_seed() -> None:
     network = Network(6)
     network.run(4.0)
     network.down = {"10.0.0.000", "10.1.0.001"}
@@ -193,61 +195,61 @@
     assert network.exchanges[host].instances >= 5
 
 
-def test_placements_reach_everyone_once_or_more() -> None:
+def test_placements_reach_every_instance() -> None:
     network = Network(10)
     network.run(4.0)
-    placed = messages.Placement(5, 6)
-    network.instances["10.1.0.004"].placed.append(placed)
+    placement = messages.Placement(5, 6)
+    network.instances["10.1.0.004"].placements.append(placement)
     network.run(0.5)
-    told = {
+    reached = {
         host
         for host, instance in network.instances.items()
-        if placed in instance.heard
+        if placement in instance.received
     }
-    assert told == set(network.instances) - {"10.1.0.004"}
+    assert reached == set(network.instances) - {"10.1.0.004"}
 
 
-def test_proof_counts_from_when_the_report_was_sent() -> None:
+def test_the_status_age_counts_from_when_the_report_was_sent() -> None:
     network = Network(4)
     network.run(3.0)
     relay, reporter = "10.0.0.000", "10.0.0.003"
-    network.instances[relay].proof = messages.StoreStatus(7, 8, age_s=0.5)
+    network.instances[relay].status = messages.StoreStatus(7, 8, age_s=0.5)
     sent_at = network.now
     network.run(1.0)
-    proven = network.instances[reporter].proven
-    assert proven
-    # A frozen reporter that reads an old answer believes no more than this.
-    for _, moment in proven:
+    statuses = network.instances[reporter].statuses
+    assert statuses
+    # A suspended reporter that reads an old answer trusts it no longer.
+    for _, moment in statuses:
         assert moment <= network.now - 0.5
-    assert proven[0][1] >= sent_at - 1.5
+    assert statuses[0][1] >= sent_at - 1.5
 
 
-def test_news_of_the_store_is_told_at_the_next_period() -> None:
+def test_new_store_versions_are_sent_in_the_next_period() -> None:
     network = Network(6)
     relay = network.instances["10.0.0.000"]
     reporter = network.instances["10.0.0.003"]
-    relay.proof = messages.StoreStatus(1, 1, 0.0)
+    relay.status = messages.StoreStatus(1, 1, 0.0)
     network.run(4.0)
     for number in range(2, 10):
-        relay.proof = messages.StoreStatus(number, 1, 0.0)
+        relay.status = messages.StoreStatus(number, 1, 0.0)
         network.run(core.PERIOD_S * 2.5)
-        assert reporter.proven[-1][0].configuration == number
+        assert reporter.statuses[-1][0].configuration == number
 
 
-def test_one_relay_proves_for_all_and_another_follows_it() -> None:
+def test_one_relay_polls_the_store_for_all_and_is_replaced() -> None:
     network = Network(9)
     network.run(4.0)
-    prover = "10.0.0.000"
+    poller = "10.0.0.000"
     for exchange in network.exchanges.values():
-        assert exchange.find_store_poller(network.now) == prover
-    network.instances[prover].proof = messages.StoreStatus(7, 7, 0.25)
+        assert exchange.find_store_poller(network.now) == poller
+    network.instances[poller].status = messages.StoreStatus(7, 7, 0.25)
     network.run(1.0)
     for host in ("10.1.0.001", "10.2.0.002"):
-        proof, moment = network.instances[host].proven[-1]
-        assert proof.configuration == 7
-        # Counted from before it was told: no fresher than it is.
+        status, moment = network.instances[host].statuses[-1]
+        assert status.configuration == 7
+        # The age counts from before it was sent: it looks no newer than it is.
         assert network.now - 1.5 < moment < network.now - 0.25
-    network.down = {prover}
+    network.down = {poller}
     network.run(6.0)
     for host in ("10.0.0.003", "10.1.0.001", "10.2.0.002"):
         found = network.exchanges[host].find_store_poller(network.now)
@@ -257,19 +259,19 @@
 def test_only_sums_cross_between_data_centres() -> None:
     network = Network(60)
     network.run(4.0)
-    network.sent = network.crossed = 0
+    network.sent = network.crossings = 0
     network.run(2.0)
-    # Six lines between three relays, not 60 times 59.
-    assert network.crossed < 6 * 2.0 / core.PERIOD_S * 1.2
+    # Six links between three relays, not 60 times 59.
+    assert network.crossings < 6 * 2.0 / core.PERIOD_S * 1.2
     assert network.sent / 60 < 3 * 2.0 / core.PERIOD_S
 
 
 def count_rounds(reporters: int) -> int:
-    """Returns how often a relay tells a reporter something in a second."""
+    """Returns how often a relay sends to its reporters in a second."""
     me = messages.Address("10.0.0.000", PORT)
     instance = FakeInstance(0)
     relay = core.Exchange(me, "a", [], instance)
-    told = 0
+    rounds = 0
     for step in range(40):
         now = 100.0 + step * core.PERIOD_S
         instance.loads = {0: messages.Load(1, step)}
@@ -278,19 +280,19 @@
             relay.receive(report, f"10.0.0.{number:03}", now)
         if step >= 20:
             sends = relay.tick(now)
-            told += any(
+            rounds += any(
                 isinstance(s.message, messages.OtherLoads) for s in sends
             )
-    return told
+    return rounds
 
 
-def test_a_relay_tells_more_rarely_the_more_it_has_to_tell() -> None:
+def test_a_relay_sends_less_often_with_more_reporters() -> None:
     assert count_rounds(10) == 20
     # 60 reporters at 2 ms each: every third period.
     assert count_rounds(60) == 7
 
 
-def test_urgent_news_is_marked_for_the_relays() -> None:
+def test_urgent_changes_are_marked_for_the_relays() -> None:
     network = Network(4)
     network.run(3.0)
     network.instances["10.0.0.003"].loads = {3: messages.Load(2, 9000)}
@@ -298,125 +300,127 @@
     assert [send.message.urgent for send in sends] == [True]
 
 
-def test_a_datagram_that_is_none_is_told_apart() -> None:
+def test_an_invalid_datagram_decodes_to_none() -> None:
     assert messages.decode(b"\x00garbage") is None
     assert messages.decode(b"") is None
 
 
-def make_placed(count: int) -> set[messages.Placement]:
+def make_placements(count: int) -> set[messages.Placement]:
     return {messages.Placement(part, 1) for part in range(count)}
 
 
-def test_one_that_starts_is_told_all_that_runners_keep() -> None:
+def test_a_new_instance_receives_all_cached_parts() -> None:
     network = Network(6)
     network.run(4.0)
-    kept = make_placed(1500)
+    cached = make_placements(1500)
     for instance in network.instances.values():
-        instance.kept = list(kept)
+        instance.cached = list(cached)
     host = network.add(6)
     network.run(4.0)
-    assert network.instances[host].heard == kept
+    assert network.instances[host].received == cached
 
 
-def test_a_relay_is_told_what_runners_of_the_others_data_centre_keep() -> None:
+def test_a_relay_receives_the_parts_cached_in_other_data_centres() -> None:
     network = Network(9)
     network.run(4.0)
-    here = make_placed(300)
+    local = make_placements(300)
     for host, instance in network.instances.items():
         if network.data_centres[host] == "a":
-            instance.kept_here = list(here)
+            instance.cached_locally = list(local)
     network.down = {"10.1.0.001"}
     network.run(4.0)
     network.down = set()
     network.run(8.0)
-    assert network.instances["10.1.0.001"].heard >= here
+    assert network.instances["10.1.0.001"].received >= local
 
 
-def test_a_burst_of_placements_is_told_whole_in_small_datagrams() -> None:
+def test_a_burst_of_placements_is_sent_completely() -> None:
     network = Network(6)
     network.run(4.0)
     host = next(iter(network.instances))
-    placed = make_placed(1000)
-    network.instances[host].placed = list(placed)
+    placements = make_placements(1000)
+    network.instances[host].placements = list(placements)
     network.run(2.0)
     for other, instance in network.instances.items():
-        assert other == host or instance.heard == placed
+        assert other == host or instance.received == placements
 
 
-def test_a_relay_hears_what_those_that_report_to_it_have_read() -> None:
+def test_a_relay_receives_the_versions_that_reporters_read() -> None:
     network = Network(6)
-    proof = messages.StoreStatus(3, 7, 0.0)
-    network.instances["10.0.0.003"].proof = proof
+    status = messages.StoreStatus(3, 7, 0.0)
+    network.instances["10.0.0.003"].status = status
     network.run(4.0)
     relay = network.instances["10.0.0.000"]
-    assert (proof, "10.0.0.003") in relay.versions
+    assert (status, "10.0.0.003") in relay.versions
 
 
 @pytest.mark.parametrize("cut_s", [1.5, 4.0, 30.0])
 @pytest.mark.parametrize("count", [3, 8, 24])
-def test_a_data_centre_that_was_cut_off_is_heard_again(count, cut_s) -> None:
+def test_a_data_centre_reconnects_after_a_partition(count, cut_s) -> None:
     network = Network(count)
     network.run(4.0)
-    network.apart = {host for host in network.exchanges if "10.2." in host}
+    network.partitioned = {
+        host for host in network.exchanges if "10.2." in host
+    }
     network.run(cut_s)
-    network.apart.clear()
+    network.partitioned.clear()
     network.run(2.0)
     network.check_totals()
 
 
 @pytest.mark.parametrize("cut_s", [1.5, 4.0, 30.0])
-def test_one_that_was_cut_off_alone_is_heard_again(cut_s) -> None:
+def test_a_single_relay_reconnects_after_a_partition(cut_s) -> None:
     network = Network(8)
     network.run(4.0)
     # The relay of a data centre of three.
-    network.apart = {"10.0.0.000"}
+    network.partitioned = {"10.0.0.000"}
     network.run(cut_s)
-    network.apart.clear()
-    # Those that passed it over, 1.2 s into its silence, give it another chance
-    # 4 s after that; what it was told before counts for 1.3 s more.
+    network.partitioned.clear()
+    # The others gave it up 1.2 s into its silence and retry it 4 s after that;
+    # loads received before count for 1.3 s more.
     network.run(1.2 + 4.0 + 1.3)
     network.check_totals()
 
 
-def test_the_proof_of_one_that_reports_counts_at_its_relay() -> None:
+def test_a_reporters_status_refreshes_that_of_its_relay() -> None:
     network = Network(8)
     network.run(4.0)
-    # The store answers one instance that relays for nobody.
+    # The store answers only one instance, which isn't a relay.
     lone = network.instances["10.0.0.006"]
     for _ in range(40):
-        lone.proof = messages.StoreStatus(7, 9, 0.0, 0.0)
+        lone.status = messages.StoreStatus(7, 9, 0.0, 0.0)
         network.run(0.05)
-        lone.proof = messages.StoreStatus(7, 9, 0.05, 0.05)
+        lone.status = messages.StoreStatus(7, 9, 0.05, 0.05)
     relay = network.instances["10.0.0.000"]
-    newest = max(moment for _, moment in relay.proven)
+    newest = max(moment for _, moment in relay.statuses)
     assert network.now - newest < 0.5
-    assert network.now - max(relay.answered) < 0.5
+    assert network.now - max(relay.store_answers) < 0.5
 
 
-def test_a_proof_that_answers_a_former_start_proves_no_moment() -> None:
+def test_an_echo_from_before_a_restart_bounds_no_time() -> None:
     network = Network(2)
     exchange = next(iter(network.exchanges.values()))
-    seen = network.instances["10.0.0.000"]
-    proof = messages.StoreStatus(7, 9, 0.5)
-    report = messages.Report("a", {}, proof=proof, echo=5000.0)
+    instance = network.instances["10.0.0.000"]
+    status = messages.StoreStatus(7, 9, 0.5)
+    report = messages.Report("a", {}, status=status, echo=5000.0)
     exchange.receive(report, "10.0.0.003", network.now)
-    assert seen.proven == []
-    assert seen.versions == {(proof, "10.0.0.003")}
-    assert seen.answered == [network.now - 0.5]
+    assert instance.statuses == []
+    assert instance.versions == {(status, "10.0.0.003")}
+    assert instance.store_answers == [network.now - 0.5]
 
 
-def test_what_one_found_of_a_runner_reaches_all_within_a_third_of_a_second():
+def test_a_finding_reaches_all_instances_within_a_third_of_a_second():
     network = Network(24)
     network.run(4.0)
     finding = messages.Finding(7, messages.Symptom.DISPLACED)
-    network.instances["10.1.0.004"].found.append(finding)
+    network.instances["10.1.0.004"].findings.append(finding)
     network.run(0.3)
-    heard = [
-        each.found_elsewhere
+    received = [
+        each.received_findings
         for host, each in network.instances.items()
         if host != "10.1.0.004"
     ]
-    assert all(len(each) == 1 for each in heard)
-    witness = messages.hash_name(b"10.1.0.004")
-    assert {each[0].observer for each in heard} == {witness}
-    assert {each[0].data_centre for each in heard} == {"b"}
+    assert all(len(each) == 1 for each in received)
+    observer = messages.hash_name(b"10.1.0.004")
+    assert {each[0].observer for each in received} == {observer}
+    assert {each[0].data_centre for each in received} == {"b"}
--- a/pollenfork/loads/tests/test_gossip.py
+++ b/pollenfork/loads/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""News reaches all instances past relays that are silent, at any size."""
+"""Tests that updates reach all instances without the relays, at any size."""
 
 import pytest
 
@@ -18,86 +18,88 @@
     ]
     roster = members.Roster(everyone[number])
     for each in everyone:
-        roster.note(each, 1.0)
+        roster.record_sighting(each, 1.0)
     return gossip.Gossip(everyone[number], roster)
 
 
-class Crowd:
-    """Instances that fetch what they hear of by the next period."""
+class Cluster:
+    """Instances that fetch a new version by the next period."""
 
     def __init__(self, count: int, centres: int) -> None:
-        self.tellers = {
+        self.gossips = {
             f"10.{number % centres}.0.{number}": make_gossip(
                 number, count, centres
             )
             for number in range(count)
         }
-        self.proofs = dict.fromkeys(self.tellers, _OLD)
+        self.statuses = dict.fromkeys(self.gossips, _OLD)
         self.sent = 0
         self.now = 100.0
         for _ in range(4):
-            self.pass_period()
+            self.advance()
 
-    def pass_period(self) -> None:
+    def advance(self) -> None:
         self.now += _PERIOD_S
-        heard = set()
-        for host, teller in self.tellers.items():
-            for to, message in teller.tick(self.proofs[host], self.now):
+        informed = set()
+        for host, each in self.gossips.items():
+            for to, message in each.tick(self.statuses[host], self.now):
                 self.sent += 1
-                if message.proof == _NEW:
-                    heard.add(to)
-        for host in heard:
-            self.proofs[host] = _NEW
+                if message.status == _NEW:
+                    informed.add(to)
+        for host in informed:
+            self.statuses[host] = _NEW
 
 
 @pytest.mark.parametrize(("count", "centres"), [(3, 1), (75, 4), (195, 5)])
-def test_news_of_one_reaches_all_within_a_second(count, centres) -> None:
-    crowd = Crowd(count, centres)
-    crowd.proofs["10.0.0.0"] = _NEW
+def test_an_update_of_one_instance_reaches_all_within_a_second(
+    count, centres
+) -> None:
+    cluster = Cluster(count, centres)
+    cluster.statuses["10.0.0.0"] = _NEW
     for _ in range(20):
-        crowd.pass_period()
-    assert set(crowd.proofs.values()) == {_NEW}
+        cluster.advance()
+    assert set(cluster.statuses.values()) == {_NEW}
 
 
-def test_news_costs_nine_datagrams_an_instance() -> None:
-    crowd = Crowd(195, 5)
-    crowd.proofs = dict.fromkeys(crowd.proofs, _NEW)
-    crowd.sent = 0
+def test_an_update_costs_nine_datagrams_an_instance() -> None:
+    cluster = Cluster(195, 5)
+    cluster.statuses = dict.fromkeys(cluster.statuses, _NEW)
+    cluster.sent = 0
     for _ in range(3):
-        crowd.pass_period()
-    assert crowd.sent == 9 * 195
+        cluster.advance()
+    assert cluster.sent == 9 * 195
 
 
-def test_without_news_it_sends_four_datagrams_a_second_at_most() -> None:
-    crowd = Crowd(75, 4)
-    crowd.sent = 0
+def test_without_updates_it_sends_four_datagrams_a_second_at_most() -> None:
+    cluster = Cluster(75, 4)
+    cluster.sent = 0
     for _ in range(20):
-        crowd.pass_period()
-    assert crowd.sent <= 4 * 75
+        cluster.advance()
+    assert cluster.sent <= 4 * 75
 
 
-def test_whoever_knows_no_more_does_not_answer() -> None:
-    teller = make_gossip(0, 3, 1)
-    asked = messages.Gossip("dc0", _NEW, sent_at=50.0)
-    assert teller.answer(asked, None, 1.0) is None
-    assert teller.answer(asked, _OLD, 1.0) is None
-    assert teller.answer(asked, _NEW, 1.0) is None
+def test_an_instance_that_knows_no_more_does_not_answer() -> None:
+    instance = make_gossip(0, 3, 1)
+    question = messages.Gossip("dc0", _NEW, sent_at=50.0)
+    assert instance.answer(question, None, 1.0) is None
+    assert instance.answer(question, _OLD, 1.0) is None
+    assert instance.answer(question, _NEW, 1.0) is None
 
 
-def test_newer_or_younger_knowledge_is_answered_and_names_the_question():
-    teller = make_gossip(0, 3, 1)
+def test_newer_versions_or_more_recent_status_are_sent_with_an_echo():
+    instance = make_gossip(0, 3, 1)
     old = messages.StoreStatus(5, 7, 2.0)
-    asked = messages.Gossip("dc0", old, sent_at=50.0)
-    for proof in (_NEW, _OLD):
-        answer = teller.answer(asked, proof, 9.0)
-        assert answer == messages.Gossip("dc0", proof, 9.0, echo=50.0)
+    question = messages.Gossip("dc0", old, sent_at=50.0)
+    for status in (_NEW, _OLD):
+        answer = instance.answer(question, status, 9.0)
+        assert answer == messages.Gossip("dc0", status, 9.0, echo=50.0)
 
 
 def test_an_answer_is_not_answered() -> None:
-    teller = make_gossip(0, 3, 1)
-    told = messages.Gossip("dc0", _OLD, sent_at=50.0, echo=8.0)
-    assert teller.answer(told, _NEW, 9.0) is None
+    instance = make_gossip(0, 3, 1)
+    answer = messages.Gossip("dc0", _OLD, sent_at=50.0, echo=8.0)
+    assert instance.answer(answer, _NEW, 9.0) is None
 
 
-def test_nobody_is_told_by_one_that_knows_nothing() -> None:
+def test_an_instance_that_knows_nothing_sends_nothing() -> None:
     assert make_gossip(0, 3, 1).tick(None, 1.0) == []
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -204,7 +204,7 @@
             digest = ids.RequestDigest(word.digest)
             at = now - word.age_ms / 1000.0
             self.book.clear(digest, at, now, answered=not word.lifted)
-        for each in told.ends:
+        for each in told.crashes:
             digest = ids.RequestDigest(each.digest)
             end = cases.End(
                 each.runner_hash,
--- a/pollenfork/ratelimits/limiter.py
+++ b/pollenfork/ratelimits/limiter.py
@@ -193,7 +193,7 @@
         for runner, each in self._coordinators.items():
             each.suspend()
             reply = limit_messages.CoordinatorReply(
-                self._data_centre, runner, leaves=True
+                self._data_centre, runner, leaving=True
             )
             self._send(each.list_rivals(), reply)
 
@@ -238,7 +238,7 @@
                 self._members.send_limits(host, reply)
             case limit_messages.CoordinatorReply():
                 self._find_coordinator(message.runner, now).on_sign(
-                    host, now, message.leaves
+                    host, now, message.leaving
                 )
         return None
 
@@ -267,7 +267,7 @@
     def _on_updates(
         self, message: limit_messages.LimitUpdates, host: str, now: float
     ) -> None:
-        if message.asks:
+        if message.wants_all:
             self._tell_all(host, now)
             return
         others = len(self._members.list_hosts()) - 1
--- a/pollenfork/ratelimits/table.py
+++ b/pollenfork/ratelimits/table.py
@@ -95,7 +95,9 @@
 def read(told: limit_messages.RateLimit, now: float) -> Limit:
     """Returns what another instance has told; its ages count from now on."""
     return Limit(
-        told.rate, now - told.asked_ms / 1000.0, now - told.heard_ms / 1000.0
+        told.rate,
+        now - told.request_age_ms / 1000.0,
+        now - told.answer_age_ms / 1000.0,
     )
 
 
--- a/pollenfork/ratelimits/tests/test_limiter.py
+++ b/pollenfork/ratelimits/tests/test_limiter.py
@@ -116,7 +116,7 @@
 def test_who_asks_is_told_all() -> None:
     made, members = make()
     members.sent.clear()
-    made.hear(limit_messages.LimitUpdates("b", asks=True), "10.1.0.1", 2.0)
+    made.hear(limit_messages.LimitUpdates("b", wants_all=True), "10.1.0.1", 2.0)
     host, told = members.sent[-1]
     assert host == "10.1.0.1"
     assert [each.runner for each in told.limits] == [RUNNER]
@@ -158,4 +158,4 @@
     members.sent.clear()
     made.tick(20.0)
     asking = members.list_sent(limit_messages.LimitUpdates)
-    assert any(each.asks for each in asking)
+    assert any(each.wants_all for each in asking)
--- a/pollenfork/ratelimits/updates.py
+++ b/pollenfork/ratelimits/updates.py
@@ -107,7 +107,7 @@
             return None
         self._ask_at = now + _ASK_S
         self._asked = True
-        return Message(self._data_centre, asks=True)
+        return Message(self._data_centre, wants_all=True)
 
     def list_pages(self, now: float, informed: bool) -> list[Message]:
         """Returns all that is known; one empty message where it is nothing.
