--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -24,7 +24,7 @@
 from pollenfork.gateway import selection
 from pollenfork.gateway import suspicion
 from pollenfork.poison import cases
-from pollenfork.ratelimits import figures
+from pollenfork.ratelimits import parsing
 from pollenfork.routes import model as routes
 
 _End = fleet_messages.End
@@ -239,7 +239,7 @@
         """Reads what the runner asks of all instances."""
         if head.displaced:
             return  # Another runner answers at its address.
-        read = figures.interpret(head.rates)
+        read = parsing.parse(head.rates)
         self._tools.limit_events.on_answer(grant.runner, read)
         # A refusal or an error without a figure doesn't end a limit.
         if read.rate is not None or (head.sealed and head.status < 400):
--- a/pollenfork/gateway/limit_events.py
+++ b/pollenfork/gateway/limit_events.py
@@ -5,7 +5,7 @@
 
 from pollenfork import ids
 from pollenfork.fleet import model as fleet
-from pollenfork.ratelimits import figures
+from pollenfork.ratelimits import parsing
 
 _LOG = logging.getLogger(__name__)
 
@@ -42,9 +42,11 @@
             _WINDOW_S * 1000,
         )
 
-    def on_answer(self, runner: fleet.Runner, read: figures.Reading) -> None:
+    def on_answer(
+        self, runner: fleet.Runner, read: parsing.ParsedLimit
+    ) -> None:
         """Logs what an answer names where it differs from the one before."""
-        if not read.regular and runner.id not in self._irregular:
+        if not read.well_formed and runner.id not in self._irregular:
             self._irregular.add(runner.id)
             _LOG.warning(
                 "event=limit_irregular runner=%s rate=%s readable=%s",
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -10,8 +10,8 @@
 from pollenfork.fleet import outcomes
 from pollenfork.loads import limit_messages
 from pollenfork.loads import messages as loads
-from pollenfork.ratelimits import figures
 from pollenfork.ratelimits import limiter
+from pollenfork.ratelimits import parsing
 
 # A coordinator answers within milliseconds; a process that has used up its
 # part of a core stands still for up to 0.1 s.
@@ -127,7 +127,7 @@
             grant: The runner, as chosen.
             tier: The request's urgency.
         """
-        asked = self._limiter.ask(
+        asked = self._limiter.request_permit(
             grant.standing.mark,
             grant.runner.data_centre,
             tier,
@@ -141,7 +141,7 @@
         return bool(granted)
 
     def on_answer(
-        self, grant: outcomes.Grant, read: figures.Reading, asked_at: float
+        self, grant: outcomes.Grant, read: parsing.ParsedLimit, asked_at: float
     ) -> None:
         """Takes what a runner's answer says of its limit.
 
@@ -171,11 +171,11 @@
         before = sum(urgency <= tier for _, urgency in refused)
         refused.append((now, tier))
         backlog = before * self._others.instances
-        return limited.wait_s + backlog / max(limited.rate, figures.LEAST_RATE)
+        return limited.wait_s + backlog / max(limited.rate, parsing.MIN_RATE)
 
     def hear(self, message: limit_messages.LimitMessage, host: str) -> None:
         """Takes a message of another instance."""
-        answered = self._limiter.hear(message, host, self._loop.time())
+        answered = self._limiter.receive(message, host, self._loop.time())
         if answered is None:
             return
         waiting = self._waiting.get(answered.number)
@@ -226,7 +226,7 @@
         """Sends one instance a message."""
         self._others.tell(host, message)
 
-    async def _wait(self, asked: limiter.Asked) -> bool | None:
+    async def _wait(self, asked: limiter.PendingPermit) -> bool | None:
         """Returns the answer; None where none came in time."""
         waiting: asyncio.Future[bool] = self._loop.create_future()
         self._waiting[asked.number] = waiting
@@ -239,4 +239,4 @@
             return None
         finally:
             del self._waiting[asked.number]
-            self._limiter.abandon(asked)
+            self._limiter.cancel(asked)
--- a/pollenfork/gateway/tests/test_limit_events.py
+++ b/pollenfork/gateway/tests/test_limit_events.py
@@ -5,7 +5,7 @@
 from pollenfork import ids
 from pollenfork.fleet import model as fleet
 from pollenfork.gateway import limit_events
-from pollenfork.ratelimits import figures
+from pollenfork.ratelimits import parsing
 
 RUNNER = fleet.Runner(
     id=ids.EndpointId("r1"),
@@ -27,7 +27,7 @@
 
 def test_each_change_of_a_limit_is_logged_once(told, caplog) -> None:
     for rate in (2.5, 2.5, 5.0, None, None):
-        told.on_answer(RUNNER, figures.Reading(rate))
+        told.on_answer(RUNNER, parsing.ParsedLimit(rate))
     assert [record.getMessage() for record in caplog.records] == [
         "event=limit_named runner=r1 rate=2.5 before=-",
         "event=limit_named runner=r1 rate=5 before=2.5",
@@ -37,7 +37,7 @@
 
 def test_sends_are_counted_while_a_limit_is_named(told, caplog) -> None:
     told.on_sent(RUNNER, 1.0)
-    told.on_answer(RUNNER, figures.Reading(2.0))
+    told.on_answer(RUNNER, parsing.ParsedLimit(2.0))
     for now in (2.0, 2.5, 6.2):
         told.on_sent(RUNNER, now)
     lines = [record.getMessage() for record in caplog.records][1:]
@@ -50,9 +50,9 @@
 def test_a_figure_that_says_nothing_is_logged_and_changes_nothing(
     told, caplog
 ) -> None:
-    told.on_answer(RUNNER, figures.Reading(2.0))
-    told.on_answer(RUNNER, figures.interpret((None,)))
-    told.on_answer(RUNNER, figures.interpret((None,)))
+    told.on_answer(RUNNER, parsing.ParsedLimit(2.0))
+    told.on_answer(RUNNER, parsing.parse((None,)))
+    told.on_answer(RUNNER, parsing.parse((None,)))
     assert [record.levelname for record in caplog.records] == [
         "INFO",
         "WARNING",
--- a/pollenfork/ratelimits/__init__.py
+++ b/pollenfork/ratelimits/__init__.py
@@ -1,1 +1,1 @@
-"""Request rates that runners ask all instances together to keep to."""
+"""Keeps to the request rates that runners set for all instances together."""
--- a/pollenfork/ratelimits/blocks.py
+++ b/pollenfork/ratelimits/blocks.py
@@ -1,12 +1,12 @@
-"""Runners that take no more requests for a moment, by tier."""
+"""Times until which a runner grants no permits to a tier."""
 
 from pollenfork import ids
 
 
 class Blocks:
-    """Remembers until when permits are not worth asking for.
+    """Remembers until when it is no use to request permits.
 
-    What is refused to a tier is refused to all less urgent ones too.
+    A refusal of one tier applies to all less urgent tiers too.
     """
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         self._until.setdefault(runner, {})[tier] = until
 
     def find_until(self, runner: int, tier: ids.Tier, now: float) -> float:
-        """Returns when to ask again; a moment that has passed: now."""
+        """Returns when to request a permit again; `now`: at once."""
         known = self._until.get(runner)
         if known is None:
             return now
@@ -30,5 +30,5 @@
         return max(found, default=now)
 
     def forget(self, runner: int) -> None:
-        """Forgets a runner that has no limit any more."""
+        """Removes the blocks of a runner whose limit has ended."""
         self._until.pop(runner, None)
--- a/pollenfork/ratelimits/bucket.py
+++ b/pollenfork/ratelimits/bucket.py
@@ -8,8 +8,8 @@
     """
 
     def __init__(self, now: float) -> None:
-        """Starts empty, as whoever granted before may have emptied it."""
-        self._level = 0.0
+        """Starts empty, as a previous coordinator may have used all tokens."""
+        self._tokens = 0.0
         self._filled_at = now
 
     def take(self, rate: float, burst: float, now: float) -> bool:
@@ -17,17 +17,17 @@
 
         Args:
             rate: Tokens a second since the last call.
-            burst: The most tokens that are kept.
+            burst: The capacity in tokens.
             now: Monotonic seconds.
         """
         gained = max(0.0, now - self._filled_at) * rate
         self._filled_at = now
-        self._level = min(burst, self._level + gained)
-        if self._level < 1.0:
+        self._tokens = min(burst, self._tokens + gained)
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
     def find_wait(self, rate: float) -> float:
         """Returns seconds until the next token, as of the last call."""
-        return max(0.0, 1.0 - self._level) / rate
+        return max(0.0, 1.0 - self._tokens) / rate
--- a/pollenfork/ratelimits/coordinator.py
+++ b/pollenfork/ratelimits/coordinator.py
@@ -1,9 +1,9 @@
-"""Grants the permits of one limited runner, for all instances.
+"""Grants the permits of one rate-limited runner, for all instances.
 
-A runner's coordinator is the first of a few candidates of its data centre, in
-an order that all instances derive by hashing. Before a candidate grants, it
-calls the others; while some of them stay silent they may be cut off and grant
-on their own, so it grants only its share of the rate.
+A runner's coordinator is the first of a few candidates in its data centre, in
+an order that all instances derive by hashing. A candidate calls the others
+before it grants permits. Those that don't answer may be partitioned and grant
+permits too, so meanwhile it grants only its share of the rate.
 """
 
 import math
@@ -17,28 +17,28 @@
 
 # Instances of a data centre that may grant a runner's permits.
 CANDIDATES = 3
-# Tokens kept for a burst, and more for each request a second.
+# Capacity of the token bucket, and an addition for each request a second.
 _BURST = 1.75
 _BURST_S = 0.25
-# How often other candidates are called while permits are asked for, in
-# seconds, and how long they have to answer.
+# Interval between calls to the other candidates while permits are requested,
+# and the time that they have to answer, in seconds.
 _CALL_S = 0.25
 _SILENT_S = 0.35
-# An answer counts for this long, in seconds.
-_HEARD_S = 0.6
-# Without requests for this long, in seconds, the right to grant lapses; where
-# permits come more seldom, for the time of this many.
+# An answer is valid for this long, in seconds.
+_ANSWER_VALID_S = 0.6
+# After this long without a request, in seconds, the right to grant permits
+# lapses; at low rates, after the time of this many permits.
 _DORMANT_S = 1.0
 _DORMANT_PERMITS = 2.0
 _SHORTEST_WAIT_S = 0.02
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What a candidate says to a permit request.
+    """A candidate's answer to a permit request.
 
     Attributes:
         granted: Whether one request may be sent now.
-        wait_s: Seconds until another request for a permit may help.
+        wait_s: Seconds until the permit may be requested again.
         coordinator: The host to ask instead; empty: this one.
     """
 
@@ -47,84 +47,85 @@
     coordinator: str = ""
 
 
-class _Rival(msgspec.Struct):
+class _Candidate(msgspec.Struct):
     """Another candidate, and whether it answers.
 
     Attributes:
-        called_at: Monotonic seconds of the last call.
-        waiting_since: The same of the first one that it hasn't answered.
-        heard_at: The same of its last sign.
-        leaves: Whether that said that it stops.
+        called_at: Monotonic seconds of the last call to it.
+        waiting_since: Monotonic seconds of the first call not yet answered.
+        received_at: Monotonic seconds of its last message.
+        leaving: Whether that message said that it is stopping.
     """
 
     called_at: float = -math.inf
     waiting_since: float | None = None
-    heard_at: float = -math.inf
-    leaves: bool = False
+    received_at: float = -math.inf
+    leaving: bool = False
 
     def answers(self, now: float) -> bool:
-        """Returns whether it has given a sign of late."""
-        return now - self.heard_at <= _HEARD_S
+        """Returns whether its last message is still valid."""
+        return now - self.received_at <= _ANSWER_VALID_S
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether it has had its time to answer."""
+        """Returns whether it failed to answer in time."""
         since = self.waiting_since
-        if self.leaves or since is None:
+        if self.leaving or since is None:
             return False
         return now - since >= _SILENT_S
 
 
 def rank(runner: int, host: str) -> int:
-    """Returns a host's place in the order for a runner; the least is first."""
+    """Returns a host's rank for a runner; the lowest comes first."""
     return xxhash.xxh32_intdigest(f"{runner} {host}".encode())
 
 
 def list_candidates(runner: int, hosts: list[str]) -> list[str]:
-    """Returns the hosts that may grant a runner's permits, the first first."""
+    """Returns the hosts that may grant a runner's permits, by rank."""
     ranked = sorted(hosts, key=lambda host: (rank(runner, host), host))
     return ranked[:CANDIDATES]
 
 
 class Coordinator:
-    """One instance as a candidate for one runner."""
+    """One instance's role as a candidate for one runner."""
 
     def __init__(self, runner: int, host: str, now: float) -> None:
         """Starts without the right to grant.
 
         Args:
-            runner: A hash of the runner's start.
-            host: This instance's.
+            runner: A hash of the runner's incarnation.
+            host: This instance's host.
             now: Monotonic seconds.
         """
         self._runner = runner
         self._host = host
         self._bucket = bucket.TokenBucket(now)
-        self._tiers = tiers.TierQueue()
-        self._rivals: dict[str, _Rival] = {}
+        self._tiers = tiers.TierReservation()
+        self._others: dict[str, _Candidate] = {}
         self._granting = False
-        self._asked_at = -math.inf
+        self._requested_at = -math.inf
         self._dormant_s = _DORMANT_S
 
     def decide(
-        self, rate: float, tier: ids.Tier, rivals: list[str], now: float
+        self, rate: float, tier: ids.Tier, others: list[str], now: float
     ) -> Decision:
         """Returns whether a request may be sent to the runner now.
 
         Args:
-            rate: What the runner names.
+            rate: The rate that the runner set.
             tier: The request's urgency.
-            rivals: The other candidates.
+            others: The other candidates.
             now: Monotonic seconds.
         """
         if self._is_dormant(now):
             self.suspend()
-        self._asked_at = now
+        self._requested_at = now
         self._dormant_s = max(_DORMANT_S, _DORMANT_PERMITS / rate)
         self._tiers.record_request(tier, now)
-        known = self._rivals
-        heard = [host for host in known if known[host].answers(now)]
-        self._rivals = {
-            host: known.get(host, _Rival()) for host in [*rivals, *heard]
+        known = self._others
+        answering = [host for host in known if known[host].answers(now)]
+        self._others = {
+            host: known.get(host, _Candidate())
+            for host in [*others, *answering]
         }
         leader = self._find_leader(now)
         if leader is not None:
@@ -137,56 +138,58 @@
             self._bucket = bucket.TokenBucket(now)
         return self._take(rate, tier, now)
 
-    def list_rivals(self) -> list[str]:
+    def list_others(self) -> list[str]:
         """Returns the other candidates, as of the last request."""
-        return list(self._rivals)
+        return list(self._others)
 
-    def list_calls(self, now: float) -> list[str]:
-        """Returns the candidates to call now."""
+    def take_calls(self, now: float) -> list[str]:
+        """Returns the candidates due for a call, and marks them as called."""
         if self._is_dormant(now):
             return []
         due = [
             host
-            for host, rival in self._rivals.items()
-            if now - rival.called_at >= _CALL_S
+            for host, other in self._others.items()
+            if now - other.called_at >= _CALL_S
         ]
         for host in due:
-            rival = self._rivals[host]
-            rival.called_at = now
-            if rival.waiting_since is None:
-                rival.waiting_since = now
+            other = self._others[host]
+            other.called_at = now
+            if other.waiting_since is None:
+                other.waiting_since = now
         return due
 
-    def on_sign(self, host: str, now: float, leaves: bool = False) -> None:
-        """Takes a call or a reply of another candidate.
+    def record_contact(
+        self, host: str, now: float, leaving: bool = False
+    ) -> None:
+        """Notes a call or a reply of another candidate.
 
         Args:
-            host: The other's.
+            host: Its host.
             now: Monotonic seconds.
-            leaves: Whether it stops and grants nothing any more.
+            leaving: Whether it is stopping and grants no more permits.
         """
-        rival = self._rivals.setdefault(host, _Rival())
-        rival.heard_at = now
-        rival.waiting_since = None
-        rival.leaves = leaves
-        if self._outranks(host) and not leaves:
+        other = self._others.setdefault(host, _Candidate())
+        other.received_at = now
+        other.waiting_since = None
+        other.leaving = leaving
+        if self._outranks(host) and not leaving:
             self._granting = False
 
     def suspend(self) -> None:
         """Gives up the right to grant until the others are called again."""
         self._granting = False
-        for rival in self._rivals.values():
-            rival.heard_at = -math.inf
-            rival.waiting_since = None
-            rival.called_at = -math.inf
-            rival.leaves = False
+        for other in self._others.values():
+            other.received_at = -math.inf
+            other.waiting_since = None
+            other.called_at = -math.inf
+            other.leaving = False
 
     def is_idle(self, now: float) -> bool:
-        """Returns whether nobody has asked for long."""
-        return now - self._asked_at > 2 * self._dormant_s
+        """Returns whether no permit was requested for long."""
+        return now - self._requested_at > 2 * self._dormant_s
 
     def _is_dormant(self, now: float) -> bool:
-        return now - self._asked_at > self._dormant_s
+        return now - self._requested_at > self._dormant_s
 
     def _outranks(self, host: str) -> bool:
         mine = rank(self._runner, self._host), self._host
@@ -194,29 +197,29 @@
 
     def _find_leader(self, now: float) -> str | None:
         """Returns the first candidate before this one that answers."""
-        before = [
+        earlier = [
             host
-            for host, rival in self._rivals.items()
-            if self._outranks(host) and rival.answers(now) and not rival.leaves
+            for host, other in self._others.items()
+            if self._outranks(host) and other.answers(now) and not other.leaving
         ]
         return min(
-            before, key=lambda host: rank(self._runner, host), default=None
+            earlier, key=lambda host: rank(self._runner, host), default=None
         )
 
     def _may_begin(self, now: float) -> bool:
-        """Returns whether each other candidate has yielded or is silent."""
+        """Returns whether every other candidate has yielded or is silent."""
         return all(
-            rival.answers(now) or rival.leaves or rival.is_silent(now)
-            for rival in self._rivals.values()
+            other.answers(now) or other.leaving or other.is_silent(now)
+            for other in self._others.values()
         )
 
     def _find_share(self, now: float) -> float:
-        """Returns the part of the rate that no silent candidate may grant."""
+        """Returns the part of the rate that silent candidates can't grant."""
         silent = sum(
-            rival.is_silent(now) and not rival.answers(now)
-            for rival in self._rivals.values()
+            other.is_silent(now) and not other.answers(now)
+            for other in self._others.values()
         )
-        return 1.0 - silent / (1 + len(self._rivals))
+        return 1.0 - silent / (1 + len(self._others))
 
     def _take(self, rate: float, tier: ids.Tier, now: float) -> Decision:
         share = self._find_share(now)
--- a/pollenfork/ratelimits/table.py
+++ b/pollenfork/ratelimits/table.py
@@ -1,4 +1,4 @@
-"""What is known of each runner's rate limit, from answers and from others."""
+"""The known rate limits, from runners' answers and from other instances."""
 
 import math
 
@@ -6,23 +6,23 @@
 
 from pollenfork.loads import limit_messages
 
-# A limit of a runner that isn't known here, or one that has ended, is kept for
-# this long, in seconds: an older word of it may still be under way.
+# How long the limit of a runner that isn't known here, or an ended limit, is
+# kept, in seconds: an older message about it may still be in transit.
 _KEPT_S = 60.0
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """What one answer said, and the time in which it can have been said.
+    """A limit stated by one answer, and the time in which it was stated.
 
     Attributes:
         rate: Requests a second from all instances together; None: no limit.
-        asked_at: Monotonic seconds at which the request was sent.
-        heard_at: The same of the answer's arrival.
+        requested_at: Monotonic seconds at which the request was sent.
+        answered_at: Monotonic seconds at which the answer arrived.
     """
 
     rate: float | None
-    asked_at: float
-    heard_at: float
+    requested_at: float
+    answered_at: float
 
     @property
     def strictness(self) -> float:
@@ -30,11 +30,11 @@
         return -math.inf if self.rate is None else -self.rate
 
 
-class Table:
-    """Limits by a hash of the runner's start.
+class LimitTable:
+    """Limits by a hash of the runner's incarnation.
 
-    Two answers whose times overlap may have been written in either order, so
-    the stricter one of them stays until an answer to a later request decides.
+    Two answers whose time spans overlap may have been written in either order,
+    so the stricter limit applies until a later request is answered.
     """
 
     def __init__(self) -> None:
@@ -45,59 +45,61 @@
         known = self._limits.get(runner)
         return None if known is None else known.rate
 
-    def take(self, runner: int, said: Limit) -> bool:
-        """Takes what an answer said; returns whether the rate has changed."""
+    def update(self, runner: int, limit: Limit) -> bool:
+        """Applies a stated limit; returns whether the rate has changed."""
         known = self._limits.get(runner)
         if known is None:
-            if said.rate is None:
+            if limit.rate is None:
                 return False
-            self._limits[runner] = said
+            self._limits[runner] = limit
             return True
-        if said.heard_at < known.asked_at:
+        if limit.answered_at < known.requested_at:
             return False
-        if said.rate == known.rate:
+        if limit.rate == known.rate:
             self._limits[runner] = Limit(
                 known.rate,
-                max(known.asked_at, said.asked_at),
-                max(known.heard_at, said.heard_at),
+                max(known.requested_at, limit.requested_at),
+                max(known.answered_at, limit.answered_at),
             )
             return False
-        newer = said.asked_at > known.heard_at
-        if not newer and said.strictness < known.strictness:
+        newer = limit.requested_at > known.answered_at
+        if not newer and limit.strictness < known.strictness:
             return False
-        self._limits[runner] = said
+        self._limits[runner] = limit
         return True
 
-    def write(self, runner: int, now: float) -> limit_messages.RateLimit | None:
-        """Returns what is known of a runner as other instances are told."""
+    def export(
+        self, runner: int, now: float
+    ) -> limit_messages.RateLimit | None:
+        """Returns a runner's limit in the form sent to other instances."""
         known = self._limits.get(runner)
         if known is None:
             return None
         return limit_messages.RateLimit(
             runner,
             known.rate,
-            _to_ms(now - known.asked_at),
-            _to_ms(now - known.heard_at),
+            _to_ms(now - known.requested_at),
+            _to_ms(now - known.answered_at),
         )
 
     def list_runners(self) -> list[int]:
-        """Returns all runners of which something is known."""
+        """Returns all runners with a known limit, ended ones included."""
         return list(self._limits)
 
     def retain(self, runners: set[int], now: float) -> None:
-        """Forgets ended limits, and those of runners unknown for long."""
+        """Drops old entries that have ended or whose runner isn't known."""
         for runner, known in list(self._limits.items()):
-            idle = now - known.heard_at > _KEPT_S
+            idle = now - known.answered_at > _KEPT_S
             if idle and (known.rate is None or runner not in runners):
                 del self._limits[runner]
 
 
-def read(told: limit_messages.RateLimit, now: float) -> Limit:
-    """Returns what another instance has told; its ages count from now on."""
+def from_message(message: limit_messages.RateLimit, now: float) -> Limit:
+    """Returns another instance's limit; its ages count from `now`."""
     return Limit(
-        told.rate,
-        now - told.request_age_ms / 1000.0,
-        now - told.answer_age_ms / 1000.0,
+        message.rate,
+        now - message.request_age_ms / 1000.0,
+        now - message.answer_age_ms / 1000.0,
     )
 
 
--- a/pollenfork/ratelimits/tests/world.py
+++ b/pollenfork/ratelimits/tests/simulation.py
@@ -1,7 +1,8 @@
-"""Instances before one limited runner, on a clock that events advance.
+"""Simulates instances that send to one rate-limited runner.
 
-Membership comes late: an instance learns of a start or an end after a time of
-its own, and remembers one that it doesn't hear of for fifteen seconds.
+Events advance the clock. Membership is delayed: each instance learns of others'
+starts after a time of its own, and keeps those that have ended or can't be
+reached for fifteen seconds.
 """
 
 import heapq
@@ -9,41 +10,44 @@
 import random
 
 from pollenfork import ids
-from pollenfork.ratelimits import figures
 from pollenfork.ratelimits import limiter
+from pollenfork.ratelimits import parsing
 
 RUNNER = 77
 TICK_S = 0.05
 ANSWER_S = 0.12
-_WAIT_S = 0.12
-_LEARNT_S = 2.0
-_FORGOTTEN_S = 15.0
-# Who starts knows all others once one of them has answered its greeting.
-_GREETED_S = 0.12
-# How long an instance goes by its last look at who is there, in seconds.
-_LOOK_S = 0.25
+_TIMEOUT_S = 0.12
+_MAX_JOIN_DELAY_S = 2.0
+_EXPIRY_S = 15.0
+# A new instance knows all others once one of them has answered its hello.
+_HELLO_S = 0.12
+# How long an instance caches the list of known instances, in seconds.
+_CACHE_S = 0.25
 _TIER = ids.Tier(1)
 
 
 class Instance:
-    """One instance: its limiter, and what it knows of the others."""
+    """One instance: its limiter, and its view of the other instances."""
 
-    def __init__(self, world: "World", host: str, data_centre: str) -> None:
-        self.world = world
+    def __init__(
+        self, simulation: "Simulation", host: str, data_centre: str
+    ) -> None:
+        self.simulation = simulation
         self.host = host
         self.data_centre = data_centre
         self.limiter = limiter.Limiter(host, data_centre, self)
-        self.started_at = world.now
+        self.started_at = simulation.now
         self.paused_until = 0.0
         self.alive = True
-        self.lateness_s = world.rng.uniform(0.1, _LEARNT_S)
-        self._turn = world.rng.randrange(1000)
+        self.join_delay_s = simulation.rng.uniform(0.1, _MAX_JOIN_DELAY_S)
+        self._turn = simulation.rng.randrange(1000)
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
         return [
             host
             for host in self._list_known()
-            if data_centre in (None, self.world.instances[host].data_centre)
+            if data_centre
+            in (None, self.simulation.instances[host].data_centre)
         ]
 
     def pick_fanout(self) -> list[str]:
@@ -59,20 +63,20 @@
         return self.pick_fanout()[:2]
 
     def send_limits(self, host, message) -> None:
-        self.world.send(self.host, host, message)
+        self.simulation.send(self.host, host, message)
 
     def _list_known(self) -> list[str]:
-        return self.world.list_known(self)
+        return self.simulation.list_known(self)
 
 
-class World:
+class Simulation:
     """The network, the runner, and the load.
 
     Attributes:
-        rate: What the runner's answers name; None: nothing.
+        rate: The rate that the runner's answers state; None: no limit.
         arrivals: When requests reached the runner.
-        refused: Requests that got no permit.
-        loss: The part of datagrams that is lost.
+        refused: The number of requests that got no permit.
+        loss: The share of datagrams that are lost.
     """
 
     def __init__(self, count: int, seed: int, centres: int = 3) -> None:
@@ -86,7 +90,7 @@
         self.messages = 0
         self.instances: dict[str, Instance] = {}
         self._ended_at: dict[str, float] = {}
-        self._apart: set[frozenset[str]] = set()
+        self._partitioned: set[frozenset[str]] = set()
         self._cut_since: dict[frozenset[str], float] = {}
         self._queue: list = []
         self._order = itertools.count()
@@ -99,7 +103,7 @@
     # Faults.
 
     def add(self, host: str, data_centre: str) -> None:
-        """Starts an instance, also one that ran before under its name."""
+        """Starts an instance, or restarts one of the same host."""
         self._ended_at.pop(host, None)
         self.instances[host] = Instance(self, host, data_centre)
         self.at(self.now + self.rng.random() * TICK_S, self._tick, host)
@@ -109,7 +113,7 @@
         self._ended_at[host] = self.now
 
     def stop(self, host: str) -> None:
-        """Stops an instance as planned; it starts again."""
+        """Stops an instance gracefully and restarts it."""
         self.instances[host].limiter.leave(self.now)
         self.at(self.now + 2.6, self.kill, host)
         self.at(self.now + 3.6, self.restart, host)
@@ -124,11 +128,11 @@
         for one in here:
             for other in there:
                 pair = frozenset({one, other})
-                self._apart.add(pair)
+                self._partitioned.add(pair)
                 self._cut_since[pair] = self.now
 
     def heal(self) -> None:
-        self._apart.clear()
+        self._partitioned.clear()
 
     # Time.
 
@@ -151,12 +155,12 @@
         if self.now >= me.paused_until:
             me.limiter.tick(self.now)
 
-    # What goes between them.
+    # Messages.
 
     def list_known(self, me: Instance) -> list[str]:
         cached = self._known_cache.get(me.host)
         fresh = self.now - me.started_at < 1.0
-        if cached is not None and self.now - cached[0] < _LOOK_S * (not fresh):
+        if cached is not None and self.now - cached[0] < _CACHE_S * (not fresh):
             return cached[1]
         found = [
             host
@@ -169,35 +173,35 @@
     def _is_known(self, me: Instance, other: Instance) -> bool:
         ended_at = self._ended_at.get(other.host)
         if ended_at is not None:
-            return self.now - ended_at < _FORGOTTEN_S
+            return self.now - ended_at < _EXPIRY_S
         pair = frozenset({me.host, other.host})
-        if pair in self._apart:
-            return self.now - self._cut_since[pair] < _FORGOTTEN_S
-        first = self.now < _LEARNT_S * 2
+        if pair in self._partitioned:
+            return self.now - self._cut_since[pair] < _EXPIRY_S
+        first = self.now < _MAX_JOIN_DELAY_S * 2
         if first:
             return True
-        if self.now - me.started_at < _GREETED_S:
+        if self.now - me.started_at < _HELLO_S:
             return False
-        return self.now - other.started_at >= me.lateness_s
+        return self.now - other.started_at >= me.join_delay_s
 
     def send(self, source: str, target: str, message) -> None:
         self.messages += 1
         if self.rng.random() < self.loss:
             return
-        way_s = 0.0005 * (1.0 + self.rng.random())
+        delay_s = 0.0005 * (1.0 + self.rng.random())
         sent_to = self.instances.get(target)
         self.at(
-            self.now + way_s, self._deliver, source, target, sent_to, message
+            self.now + delay_s, self._deliver, source, target, sent_to, message
         )
 
     def _deliver(self, source, target, sent_to, message) -> None:
         me = self.instances.get(target)
         if me is not sent_to or me is None or not me.alive:
             return
-        if frozenset({source, target}) in self._apart:
+        if frozenset({source, target}) in self._partitioned:
             return
         if self.now < me.paused_until:
-            # It waits in the socket until the process runs on.
+            # It waits in the socket buffer until the process resumes.
             self.at(
                 me.paused_until + 1e-4,
                 self._deliver,
@@ -207,23 +211,23 @@
                 message,
             )
             return
-        answered = me.limiter.hear(message, source, self.now)
-        if answered is not None and answered.granted:
+        outcome = me.limiter.receive(message, source, self.now)
+        if outcome is not None and outcome.granted:
             self._send_request(target)
-        elif answered is not None:
+        elif outcome is not None:
             self.refused += 1
 
     # Requests.
 
     def ask(self, host: str) -> None:
-        """Sends the runner a request from an instance, if it may."""
+        """Sends a request from an instance, if the instance gets a permit."""
         me = self.instances[host]
         if not me.alive or self.now < me.paused_until:
             return
         until = me.limiter.find_blocked_until(RUNNER, _TIER, self.now)
         if until > self.now:
             if me.limiter.find_rate(RUNNER) is None:
-                self.at(self.now + _LOOK_S / 10, self.ask, host)
+                self.at(self.now + _CACHE_S / 10, self.ask, host)
             else:
                 self.refused += 1
             return
@@ -231,17 +235,19 @@
             me.limiter.on_sent(RUNNER, self.now)
             self._send_request(host)
             return
-        asked = me.limiter.ask(RUNNER, "a", _TIER, self.now)
-        if asked is True:
+        permit = me.limiter.request_permit(RUNNER, "a", _TIER, self.now)
+        if permit is True:
             self._send_request(host)
-        elif asked is False:
+        elif permit is False:
             self.refused += 1
         else:
-            self.at(self.now + _WAIT_S, self._time_out, host, me, asked)
+            self.at(self.now + _TIMEOUT_S, self._time_out, host, me, permit)
 
-    def _time_out(self, host: str, me: Instance, asked: limiter.Asked) -> None:
+    def _time_out(
+        self, host: str, me: Instance, pending: limiter.PendingPermit
+    ) -> None:
         if me.alive and self.instances[host] is me:
-            me.limiter.on_timeout(asked, self.now)
+            me.limiter.on_timeout(pending, self.now)
 
     def _send_request(self, host: str) -> None:
         self.granted[host] = self.granted.get(host, 0) + 1
@@ -249,19 +255,19 @@
 
     def _arrive(self, host: str, sent_at: float) -> None:
         self.arrivals.append(self.now)
-        read = figures.Reading(self.rate)
+        parsed = parsing.ParsedLimit(self.rate)
         answer_s = ANSWER_S * self.rng.uniform(0.5, 1.5)
         self.at(
             self.now + answer_s,
             self._answer,
             self.instances[host],
-            read,
+            parsed,
             sent_at,
         )
 
-    def _answer(self, me: Instance, read, sent_at: float) -> None:
+    def _answer(self, me: Instance, parsed, sent_at: float) -> None:
         if me.alive and self.now >= me.paused_until:
-            me.limiter.on_answer(RUNNER, read, sent_at, self.now)
+            me.limiter.on_answer(RUNNER, parsed, sent_at, self.now)
 
     def load(
         self, a_second: float, seconds: float, hosts: list[str] | None = None
@@ -275,13 +281,13 @@
                 return
             self.at(moment, self.ask, self.rng.choice(hosts))
 
-    # What is judged.
+    # Results.
 
     def count(self, since: float, until: float) -> int:
         return sum(since <= at < until for at in self.arrivals)
 
     def find_most(self, since: float, window_s: float = 4.0) -> int:
-        """Returns the most arrivals in any window after a moment."""
+        """Returns the most arrivals in any window of time after a moment."""
         times = [at for at in self.arrivals if at >= since]
         first = 0
         most = 0
--- a/pollenfork/ratelimits/tiers.py
+++ b/pollenfork/ratelimits/tiers.py
@@ -1,4 +1,4 @@
-"""Keeps a limited runner's requests for the more urgent tiers."""
+"""Reserves a limited runner's permits for the more urgent tiers."""
 
 import collections
 
@@ -7,8 +7,8 @@
 _WINDOW_S = 2.0
 
 
-class _Recent:
-    """Counts events of the last seconds by tier."""
+class _RecentCounts:
+    """Counts recent events by tier."""
 
     def __init__(self) -> None:
         self._events: collections.deque[tuple[float, ids.Tier]] = (
@@ -26,39 +26,39 @@
             self.counts[tier] -= 1
 
 
-class TierQueue:
-    """Counts what each tier has asked for and been granted of late.
+class TierReservation:
+    """Tracks each tier's recent requests for permits and its grants.
 
-    A less urgent request is granted only what the more urgent ones, as many as
-    came in the last seconds, would leave.
+    Less urgent requests share the permits that the more urgent ones would
+    leave if as many came as in the last seconds.
     """
 
     def __init__(self) -> None:
-        self._asked = _Recent()
-        self._granted = _Recent()
+        self._requested = _RecentCounts()
+        self._granted = _RecentCounts()
 
     def record_request(self, tier: ids.Tier, now: float) -> None:
         """Counts a request for a permit."""
-        self._asked.add(tier, now)
+        self._requested.add(tier, now)
 
     def record_grant(self, tier: ids.Tier, now: float) -> None:
-        """Counts a permit."""
+        """Counts a permit granted."""
         self._granted.add(tier, now)
 
     def admits(self, tier: ids.Tier, rate: float, now: float) -> bool:
-        """Returns whether a request of a tier leaves enough for the others.
+        """Returns whether a permit leaves enough for more urgent tiers.
 
         Args:
-            tier: The request's.
+            tier: The request's tier.
             rate: Permits a second.
             now: Monotonic seconds.
         """
-        self._asked.expire(now)
+        self._requested.expire(now)
         self._granted.expire(now)
-        asked = self._asked.counts.items()
-        urgent = sum(count for urgency, count in asked if urgency < tier)
+        requested = self._requested.counts.items()
+        urgent = sum(count for urgency, count in requested if urgency < tier)
         if not urgent:
             return True
-        given = self._granted.counts.items()
-        granted = sum(count for urgency, count in given if urgency >= tier)
+        grants = self._granted.counts.items()
+        granted = sum(count for urgency, count in grants if urgency >= tier)
         return granted + 1 <= rate * _WINDOW_S - urgent
