--- a/pollenfork/ratelimits/limiter.py
+++ b/pollenfork/ratelimits/limiter.py
@@ -16,8 +16,8 @@
 from pollenfork.ratelimits import table
 from pollenfork.ratelimits import updates
 
-# A coordinator that doesn't answer is skipped for this long, in seconds, and no
-# permit for its runner is requested for the shorter time.
+# How long a coordinator that didn't answer in time is skipped, and how long no
+# permit for its runner is requested meanwhile, in seconds.
 _UNRESPONSIVE_S = 1.0
 _UNANSWERED_S = 0.1
 # A data centre without a known instance for this long, in seconds, has lost
@@ -203,7 +203,7 @@
         self._blocks.block(pending.runner, pending.tier, now + _UNANSWERED_S)
 
     def leave(self, now: float) -> None:
-        """Gives up the right to grant permits, as this instance stops."""
+        """Hands over the right to grant permits, as this instance stops."""
         self._leaving = True
         for runner, each in self._coordinators.items():
             each.suspend()
@@ -293,7 +293,7 @@
             self._update(each.runner, table.from_message(each, now), now)
 
     def _send_all(self, host: str, now: float) -> None:
-        """Sends a host all known limits, marked if this instance is informed."""
+        """Sends a host all known limits, and whether others sent theirs."""
         informed = self.find_informed_at(now) <= now
         for page in self._updates.list_pages(now, informed):
             self._members.send_limits(host, page)
