--- a/pollenfork/poison/outbox.py
+++ b/pollenfork/poison/outbox.py
@@ -26,7 +26,7 @@
 # requests come first. They hold 400 crashes of 130 requests.
 _MAX_PAGES = 10
 
-_Update = messages.RunnerEnd | messages.Clearance
+_Update = messages.RunnerCrash | messages.Clearance
 
 
 class _QueuedUpdate(msgspec.Struct):
@@ -154,7 +154,7 @@
 
 
 def _pack(updates: list[_Update]) -> messages.Suspicions:
-    ends = [each for each in updates if isinstance(each, messages.RunnerEnd)]
+    ends = [each for each in updates if isinstance(each, messages.RunnerCrash)]
     cleared = [each for each in updates if isinstance(each, messages.Clearance)]
     return messages.Suspicions("", tuple(ends), tuple(cleared))
 
@@ -181,7 +181,7 @@
             for history in page
             for crash in history.crashes
         ),
-        kept=tuple(
+        quarantined=tuple(
             history.digest
             for history in page
             if history.quarantined_at is not None
@@ -191,8 +191,8 @@
 
 def _to_runner_end(
     digest: ids.RequestDigest, crash: crashes.Crash, now: float
-) -> messages.RunnerEnd:
-    return messages.RunnerEnd(
+) -> messages.RunnerCrash:
+    return messages.RunnerCrash(
         digest,
         crash.runner_hash,
         _to_ms(now - crash.sent_at),
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -214,21 +214,21 @@
             digest = ids.RequestDigest(clearance.digest)
             at = now - clearance.age_ms / 1000.0
             self.tracker.clear(digest, at, now, answered=not clearance.lifted)
-        for each in received.ends:
+        for each in received.crashes:
             digest = ids.RequestDigest(each.digest)
             crash = crashes.Crash(
-                each.place,
+                each.runner_hash,
                 now - each.sent_ms / 1000.0,
                 now - each.ended_ms / 1000.0,
-                each.witness,
+                each.sender,
                 None if each.made_ms is None else now - each.made_ms / 1000.0,
             )
             if self.tracker.record_crash(digest, crash, now):
                 self._outbox.add_crash(digest, crash)
                 self._detector.probe(crash.runner_hash)
-            if each.witness == messages.hash_name(host.encode()):
+            if each.sender == messages.hash_name(host.encode()):
                 self.tracker.record_reporter(digest, host)
-        for kept in received.kept:
+        for kept in received.quarantined:
             self.tracker.record_confirmation(ids.RequestDigest(kept), host)
 
     def _list_unconfirmed(
--- a/pollenfork/poison/tests/test_bounds.py
+++ b/pollenfork/poison/tests/test_bounds.py
@@ -7,7 +7,7 @@
 import pathlib
 
 from pollenfork.loads import core
-from pollenfork.loads import rumours
+from pollenfork.loads import dissemination
 from pollenfork.poison import crashes
 from pollenfork.poison import detector
 from pollenfork.poison.tests import doc_tables
@@ -27,10 +27,13 @@
     "first telling lost": (PROOF_S + HOPS * (HOP_S + core.PERIOD_S) + CHECK_S),
     "can't connect": PROOF_S + HOPS * HOP_S + detector._UNCONFIRMED_S,
     "all news lost": (
-        PROOF_S + HOPS * (HOP_S + core.PERIOD_S) + rumours._PAGE_S + CHECK_S
+        PROOF_S
+        + HOPS * (HOP_S + core.PERIOD_S)
+        + dissemination._PAGE_S
+        + CHECK_S
     ),
     "at one moment": crashes.CONCURRENT_WAIT_S,
-    "that starts": core.PERIOD_S + rumours._ASK_S + 2 * HOP_S + CHECK_S,
+    "that starts": core.PERIOD_S + dissemination._ASK_S + 2 * HOP_S + CHECK_S,
 }
 
 
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -165,14 +165,14 @@
         for name in fleet.runners:
             runner_hash = fleets.evidence.mark(fleet.runners[name])
             ends = tuple(
-                messages.RunnerEnd(
+                messages.RunnerCrash(
                     digest, runner_hash, 300 - 90 * number, 250, 1
                 )
                 for digest in (OTHER, *others)
             )
             received = messages.Suspicions("c0", ends)
             for each in fleet.instances[1:]:
-                sends = each.exchange.hear(received, faulty.host, fleet.now)
+                sends = each.exchange.receive(received, faulty.host, fleet.now)
                 fleet.deliver(each, sends)
         fleet.run(1.0)
     fleet.run(25.0)
@@ -191,7 +191,7 @@
     for each in fleet.instances:
         for number in range(20):
             runner_hash = fleets.evidence.mark(fleet.runners[f"r{number % 9}"])
-            end = messages.RunnerEnd(POISON, runner_hash + number, 90, 80, 1)
+            end = messages.RunnerCrash(POISON, runner_hash + number, 90, 80, 1)
             received = messages.Suspicions("c0", (end,))
             each.quarantine.receive_suspicions(
                 received, "10.0.0.000", fleet.now
