--- a/pollenfork/fleet/__init__.py
+++ b/pollenfork/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The runners of each service: who is there, how they fare, whom to choose."""
+"""The runners of each service: membership, observed state and selection."""
--- a/pollenfork/fleet/errors.py
+++ b/pollenfork/fleet/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a runner's entry."""
+"""Errors in a runner's registry entry."""
 
 import enum
 
@@ -6,21 +6,21 @@
 
 
 class EntryFault(enum.Enum):
-    """Why an entry names no runner."""
+    """Why a registry entry is invalid."""
 
-    NOT_DECODABLE = "not_decodable"  # Its bytes are no object.
+    NOT_DECODABLE = "not_decodable"  # The payload isn't an object.
     MISSING_FIELD = "missing_field"
-    OTHER_TYPE = "other_type"  # A field holds another type than it should.
+    OTHER_TYPE = "other_type"  # A field has the wrong type.
     OUT_OF_RANGE = "out_of_range"
     UNKNOWN_STATE = "unknown_state"
-    NO_ADDRESS = "no_address"  # Its address is none that can be connected to.
+    NO_ADDRESS = "no_address"  # The address can't be connected to.
 
 
 class BadEntry(failures.Failure, frozen=True, kw_only=True):
-    """An entry that names no runner to use.
+    """A registry entry that describes no usable runner.
 
     Attributes:
-        fault: Why.
+        fault: What is wrong with the entry.
     """
 
     fault: EntryFault
--- a/pollenfork/fleet/limits.py
+++ b/pollenfork/fleet/limits.py
@@ -1,4 +1,4 @@
-"""The rate limits of runners, as the choice of runners needs them."""
+"""The interface through which runner selection reads rate limits."""
 
 from typing import Protocol
 
@@ -6,26 +6,26 @@
 
 
 class Limits(Protocol):
-    """The rate limits of runners, by a hash of their start."""
+    """The rate limits of runners, keyed by the hash of their incarnation."""
 
     def find_rate(self, runner: int) -> float | None:
-        """Returns a runner's limit in requests a second; None: none."""
+        """Returns a runner's limit in requests per second; None: no limit."""
 
     def find_blocked_until(
         self, runner: int, tier: ids.Tier, now: float
     ) -> float:
-        """Returns when a request of a tier may be sent there at the soonest."""
+        """Returns the earliest time at which a runner may take a request."""
 
 
 class NoLimits:
-    """Runners without rate limits."""
+    """The rate limits of runners that have none."""
 
     def find_rate(self, runner: int) -> float | None:
-        """Returns none."""
+        """Returns None: no runner has a limit."""
         return None
 
     def find_blocked_until(
         self, runner: int, tier: ids.Tier, now: float
     ) -> float:
-        """Returns the moment itself."""
+        """Returns `now`: no runner is ever blocked."""
         return now
--- a/pollenfork/fleet/model.py
+++ b/pollenfork/fleet/model.py
@@ -1,4 +1,4 @@
-"""What is known of a runner from the registry."""
+"""Runners and prompt parts, as the registry and requests describe them."""
 
 import msgspec
 
@@ -9,8 +9,8 @@
     """A part of a prompt that several requests may share.
 
     Attributes:
-        name: What identifies its text.
-        tokens: Its length.
+        name: What identifies the part's text.
+        tokens: The part's length.
     """
 
     name: bytes
@@ -18,11 +18,14 @@
 
 
 class Incarnation(msgspec.Struct, frozen=True):
-    """One start of a runner: what one kept or ran, another knows nothing of.
+    """One run of a runner's process.
+
+    A restarted runner has neither the cache nor the requests of its previous
+    incarnation.
 
     Attributes:
-        id: The runner, which may start again under it.
-        start: When it started by its own clock; None where it doesn't say.
+        id: The runner's id, which stays the same across restarts.
+        start: When it started, by its own clock; None if it doesn't say.
     """
 
     id: ids.EndpointId
@@ -30,27 +33,28 @@
 
     @property
     def name(self) -> bytes:
-        """What identifies it to other instances."""
+        """The name that identifies the incarnation to other instances."""
         if self.start is None:
             return self.id.encode()
         return b"%b@%d" % (self.id.encode(), self.start)
 
 
 class Runner(msgspec.Struct, frozen=True, kw_only=True):
-    """A runner as its entry shows it.
+    """A runner as its registry entry describes it.
 
     Attributes:
-        id: Its own as long as it is known, also when it starts again.
-        service: The service it offers.
+        id: The runner's id, which stays the same across restarts.
+        service: The service that it offers.
         host: Its IP address.
         port: Its port.
         data_centre: Where it runs.
-        slots: Requests that it works on at once.
-        leaving: Whether it takes no new work.
+        slots: Requests that it can run concurrently.
+        leaving: Whether it accepts no new work.
         cold_s: How much longer it is slow after its start, in seconds.
-        start: When it started by its own clock; None where it doesn't say.
-        sequence: Its count of what it has said, which begins anew with it.
-        reclaimable: Whether it may be taken away at any time.
+        start: When it started, by its own clock; None if it doesn't say.
+        sequence: The number of its latest announcement, which starts over
+            with each incarnation.
+        reclaimable: Whether the provider may take it away at any time.
     """
 
     id: ids.EndpointId
@@ -67,19 +71,20 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Its start, which all that is believed of it belongs to."""
+        """The incarnation that observations of the runner belong to."""
         return Incarnation(self.id, self.start)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Its host and port."""
+        """The host and port."""
         return self.host, self.port
 
     def is_restart_of(self, before: "Runner") -> bool:
-        """Returns whether it has started anew since a known entry.
+        """Returns whether the runner has restarted since an earlier entry.
 
         Args:
-            before: What was known of it; this is newer by the registry.
+            before: The previously known entry; the registry orders it before
+                this one.
         """
         if self.start is None and before.start is None:
             return self.sequence < before.sequence
