--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -12,12 +12,12 @@
 import sys
 from typing import Any, NamedTuple
 
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import copies
 from pollenfork.fleet import evidence
-from pollenfork.fleet import offers
-from pollenfork.fleet import repeats
-from pollenfork.fleet import standing
+from pollenfork.fleet import retry_budget
+from pollenfork.fleet import runner_state
 from pollenfork.gateway import cache_feed
 from pollenfork.gateway import patience
 from pollenfork.gateway import peers
@@ -55,15 +55,15 @@
 SWITCHES: dict[str, tuple[Switch, ...]] = {
     "none": (),
     "runners-kept-apart": (
-        Switch(offers, "keep_apart", lambda demand, found: found),
+        Switch(candidates, "reserve_runners", lambda demand, found: found),
     ),
     "early-refusals": (Switch(refusals, "find_longest", _do_nothing),),
     "news-of-caches": (Switch(cache_feed.CacheFeed, "check", _do_nothing),),
     "shared-placements": (Switch(choice.Chooser, "take_placed", _give([])),),
-    "homes-by-hashing": (Switch(offers, "_find_home", _do_nothing),),
+    "homes-by-hashing": (Switch(candidates, "_find_hash_owner", _do_nothing),),
     "copies-of-prompts": (Switch(copies, "find_sources", _do_nothing),),
-    "weight-in-a-crowd": (Switch(offers, "_CROWDED_WEIGHT", 0.0),),
-    "weight-of-a-move": (Switch(offers, "_MOVE_WEIGHT", 1.0),),
+    "weight-in-a-crowd": (Switch(candidates, "_BACKLOG_MOVE_WEIGHT", 0.0),),
+    "weight-of-a-move": (Switch(candidates, "_MOVE_WEIGHT", 1.0),),
     "loads-of-others": (
         Switch(peers.Peers, "read_others", _give(loads.Load())),
     ),
@@ -72,11 +72,13 @@
     ),
     "findings-of-others": (Switch(evidence.Evidence, "take_found", _give([])),),
     "gossip-of-the-store": (Switch(gossip.Gossip, "tell", _give([])),),
-    "room-in-kept-apart-slots": (Switch(offers, "_QUICK_SLOTS", _NEVER),),
-    "pauses-after-failures": (Switch(choice, "_SHUNNED_S", 0.0),),
-    "rate-of-failures": (Switch(choice, "_FAILING_S", 0.0),),
-    "out-of-reach": (Switch(standing, "_OUT_OF_REACH", _NEVER),),
-    "repeats": (Switch(repeats.RepeatBudget, "take", _give(False)),),
+    "room-in-kept-apart-slots": (
+        Switch(candidates, "_RESERVED_SLOT_SHARE", _NEVER),
+    ),
+    "pauses-after-failures": (Switch(choice, "_AVOIDED_COST_S", 0.0),),
+    "rate-of-failures": (Switch(choice, "_FAILURE_COST_S", 0.0),),
+    "out-of-reach": (Switch(runner_state, "_UNREACHABLE_FAILURES", _NEVER),),
+    "repeats": (Switch(retry_budget.RetryBudget, "try_take", _give(False)),),
     "patience": (
         Switch(patience, "_SILENT_TARGETS", _NEVER),
         Switch(patience, "_SILENT_GAPS", _NEVER),
--- a/benchmarks/cache_feed_cost.py
+++ b/benchmarks/cache_feed_cost.py
@@ -46,7 +46,9 @@
         ask = caches.write_feed_ask(runner, after, 1.0)
         answer = await calls.call(ask, 1.7)
         assert answer is not None
-        chooser.take_news(runner.id, caches.read_feed(*answer).unwrap())
+        chooser.apply_cache_report(
+            runner.id, caches.read_feed(*answer).unwrap()
+        )
     return time.thread_time() - begun
 
 
--- a/pollenfork/fleet/choice.py
+++ b/pollenfork/fleet/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the runner for a request by when its answer would begin."""
+"""Selects the runner with the lowest expected time to first token."""
 
 from collections.abc import Callable
 import heapq
@@ -7,45 +7,48 @@
 import xxhash
 
 from pollenfork import ids
-from pollenfork.fleet import caches
+from pollenfork.fleet import candidates
 from pollenfork.fleet import copies
 from pollenfork.fleet import limits as rate_limits
 from pollenfork.fleet import messages
 from pollenfork.fleet import model
-from pollenfork.fleet import offers
 from pollenfork.fleet import outcomes
+from pollenfork.fleet import prefix_index
 from pollenfork.fleet import registry
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 from pollenfork.loads import messages as loads
 
-# What each request under way adds to the wait for a first token, in seconds:
-# a step that takes one more request is about 0.1 ms longer, and the token is
-# there after some steps.
-_ACTIVE_S = 0.002
-# A plain service works on a request for about 45 ms.
-_PLAIN_ACTIVE_S = 0.045
-# What a runner that failed just now is held to cost, in seconds: more than
-# any wait at the others.
-_SHUNNED_S = 5.0
-_FAILING_S = 1.0
-# Others must know of a prompt that takes a runner longer than this to read, in
-# tokens, or their short requests wait behind it. At the rate above: 35 ms.
-_LONG_TOKENS = 2000
-# What a runner without a free slot is held to cost, in seconds: about what a
-# long answer still takes there.
-_FULL_S = 1.0
-# A runner with no more to read than this part of what a request may wait for
-# isn't overloaded, however long the request's own prompt is.
-_ALWAYS_TAKEN = 0.2
-# Choices closer than this are alike, in seconds.
-_ALIKE_S = 0.004
+# What each running request adds to the time to first token, in seconds: one
+# more request lengthens a batch step by about 0.1 ms, and the first token takes
+# several steps.
+_ACTIVE_COST_S = 0.002
+# A plain service processes a request in about 45 ms.
+_PLAIN_ACTIVE_COST_S = 0.045
+# The cost of a runner that has just failed, in seconds: more than the wait at
+# any other runner.
+_AVOIDED_COST_S = 5.0
+# The cost of a runner at a failure rate of 1, in seconds.
+_FAILURE_COST_S = 1.0
+# The length in tokens above which a prompt is announced to other instances at
+# once, so that their short requests don't queue behind it. At the prefill rate
+# it takes 35 ms.
+_LONG_PROMPT_TOKENS = 2000
+# The cost of a runner without a free slot, in seconds: about the remaining time
+# of a long answer there.
+_FULL_COST_S = 1.0
+# A runner whose backlog is within this fraction of the allowed wait isn't
+# overloaded, however long the request's own prompt is.
+_MAX_IDLE_BACKLOG = 0.2
+# Candidates whose costs differ by less than this, in seconds, are equivalent.
+_TIE_S = 0.004
 
 
 class Chooser:
-    """Chooses runners and keeps what each choice brings with it.
+    """Selects runners and tracks the load that each selection adds.
 
-    A prompt goes where its shared parts have been read. Where nobody has read
-    them, instances agree on a home by hashing, for news takes a moment.
+    A prompt goes to a runner that has its shared parts cached. For parts that
+    aren't cached anywhere, all instances choose the same runner by rendezvous
+    hashing, because placements take a moment to propagate.
     """
 
     def __init__(
@@ -55,244 +58,256 @@
         read_others: Callable[[int], loads.Load] | None = None,
         limits: rate_limits.Limits | None = None,
     ) -> None:
-        """Starts with nothing known.
+        """Creates a chooser without load or cached parts.
 
         Args:
             runners: The runners of all services.
-            rng: Chooses among runners that are alike.
-            read_others: Returns what other instances have at a runner, by
-                the hash of its id.
-            limits: Tells which runners have rate limits; None: none has.
+            rng: Breaks ties between equivalent candidates.
+            read_others: Returns the load of other instances on a runner, by
+                the hash of its incarnation.
+            limits: The runners' rate limits; None: no runner has one.
         """
         self._limits = limits or rate_limits.NoLimits()
         self._read_others = read_others or (lambda runner: loads.Load())
         self._registry = runners
         self._rng = rng
-        self._standings: dict[ids.EndpointId, standing.Standing] = {}
+        self._states: dict[ids.EndpointId, runner_state.RunnerState] = {}
         self._placed: list[loads.Placed] = []
         self._on_long: list[Callable[[], None]] = []
-        self._leavers: dict[
-            ids.EndpointId, tuple[model.Runner, standing.Standing]
+        self._leaving: dict[
+            ids.EndpointId, tuple[model.Runner, runner_state.RunnerState]
         ] = {}
-        self.caches = caches.Caches()
+        self.caches = prefix_index.PrefixIndex()
         runners.when_gone(self._forget)
 
     def choose(
         self,
-        demand: offers.Demand,
+        profile: candidates.RequestProfile,
         avoid: set[ids.EndpointId],
         now: float,
-        longest_s: float | None = None,
+        max_wait_s: float | None = None,
         suspect: ids.RequestDigest | None = None,
     ) -> outcomes.Outcome:
-        """Returns the runner that would begin its answer first.
+        """Selects the runner with the lowest cost.
 
         Args:
-            demand: What is asked.
-            avoid: Runners that this request has been at.
+            profile: What the request needs.
+            avoid: Runners that this request has already been sent to.
             now: Monotonic seconds.
-            longest_s: Seconds in which its own prompt must have been read;
-                None: any.
-            suspect: The request's digest where runners have ended under it:
-                it goes where it can end least.
+            max_wait_s: Seconds within which the request's prompt must have
+                been processed; None: unlimited.
+            suspect: The request's digest if runners have crashed while running
+                it; it is then routed so that it can crash as few as possible.
 
         Returns:
-            The grant; `Overloaded` where that runner has more to read than
-            `longest_s`; `OutOfReach` where there are runners and none can be
-            reached; `Limited` where those in reach take no more requests
-            now; None where there is none.
+            The grant; `Overloaded` if that runner's backlog exceeds
+            `max_wait_s`; `Unreachable` if there are runners but none can be
+            reached; `Limited` if the reachable ones accept no more requests
+            now; None if there are no runners.
         """
         self._registry.expire(now)
-        takers = [
+        accepting = [
             runner
-            for runner in self._registry.list_takers(demand.service)
+            for runner in self._registry.list_accepting(profile.service)
             if runner.id not in avoid
         ]
-        if not takers:
+        if not accepting:
             return None
-        takers = [
+        accepting = [
             runner
-            for runner in self._leave_out_displaced(takers)
-            if self.find_standing(runner.id).reachable
+            for runner in self._exclude_displaced(accepting)
+            if self.get_state(runner.id).reachable
         ]
-        if not takers:
-            return outcomes.OutOfReach()
-        reached = takers
-        takers = self._leave_out_limited(reached, demand.tier, now)
-        if not takers:
-            return self._measure_limits(reached, demand.tier, now)
+        if not accepting:
+            return outcomes.Unreachable()
+        reached = accepting
+        accepting = self._exclude_limited(reached, profile.tier, now)
+        if not accepting:
+            return self._describe_limits(reached, profile.tier, now)
         if suspect is not None:
-            takers = self._list_least(takers, suspect, now)
-        found = [self._make_offer(demand, runner, now) for runner in takers]
-        if demand.shared:
-            leavers = self._list_leavers(demand)
-            copies.find_sources(demand, found, now, leavers)
-        crowd_s = sum(offer.reading for offer in found) / len(found)
-        crowd_s /= offers.READ_RATE
-        if demand.parts and demand.quick is not None:
-            found = offers.keep_apart(demand, found)
-        if demand.shared:
-            offers.weigh_moves(demand, found, crowd_s)
-        least = min(offer.cost for offer in found)
-        alike = [each for each in found if each.cost <= least + _ALIKE_S]
-        offer = self._rng.choice(alike)
-        if longest_s is not None and _is_overloaded(offer, demand, longest_s):
-            return outcomes.Overloaded(_find_wait(offer, demand))
-        grant = self._grant(demand, offer)
-        kept = [each.cost for each in found if not each.unread]
-        grant.crowd_s = crowd_s
-        grant.holders = len(kept)
-        grant.kept_cost = min(kept, default=0.0)
+            accepting = self._choose_for_suspect(accepting, suspect, now)
+        found = [
+            self._make_candidate(profile, runner, now) for runner in accepting
+        ]
+        if profile.shared:
+            leaving = self._list_leaving_holders(profile)
+            copies.find_sources(profile, found, now, leaving)
+        backlog_s = sum(candidate.pending_tokens for candidate in found) / len(
+            found
+        )
+        backlog_s /= candidates.PREFILL_TOKENS_PER_S
+        if profile.parts and profile.top_tier is not None:
+            found = candidates.reserve_runners(profile, found)
+        if profile.shared:
+            candidates.add_cache_miss_costs(profile, found, backlog_s)
+        lowest = min(candidate.cost for candidate in found)
+        tied = [each for each in found if each.cost <= lowest + _TIE_S]
+        candidate = self._rng.choice(tied)
+        if max_wait_s is not None and _is_overloaded(
+            candidate, profile, max_wait_s
+        ):
+            return outcomes.Overloaded(_find_wait(candidate, profile))
+        grant = self._grant(profile, candidate)
+        holder_costs = [each.cost for each in found if not each.uncached_tokens]
+        grant.mean_backlog_s = backlog_s
+        grant.holders = len(holder_costs)
+        grant.holder_cost = min(holder_costs, default=0.0)
         return grant
 
-    def confirm(self, grant: outcomes.Grant, demand: offers.Demand) -> None:
-        """Notes that what was granted on condition will be sent."""
-        self._place(demand, grant)
+    def confirm(
+        self, grant: outcomes.Grant, profile: candidates.RequestProfile
+    ) -> None:
+        """Confirms a grant of a rate-limited runner."""
+        self._record_placement(profile, grant)
 
     def is_limited(self, runner: ids.EndpointId) -> bool:
         """Returns whether a runner has a rate limit."""
-        mark = self.find_standing(runner).mark
-        return self._limits.find_rate(mark) is not None
-
-    def list_marks(self) -> set[int]:
-        """Returns the hashes of the starts of all runners known."""
-        return {self._mark(runner) for runner in self._registry.list_all()}
-
-    def measure(self, service: ids.ServiceName) -> messages.Use:
-        """Returns how busy a service's runners are that take work."""
-        use = messages.Use()
-        for runner in self._registry.list_takers(service):
-            seen = self.find_standing(runner.id)
-            others = self._read_others(seen.mark)
+        incarnation = self.get_state(runner).incarnation_hash
+        return self._limits.find_rate(incarnation) is not None
+
+    def list_hashes(self) -> set[int]:
+        """Returns the incarnation hashes of all known runners."""
+        return {self._get_hash(runner) for runner in self._registry.list_all()}
+
+    def measure(self, service: ids.ServiceName) -> messages.Utilization:
+        """Returns the total load of a service's runners that accept work."""
+        use = messages.Utilization()
+        for runner in self._registry.list_accepting(service):
+            state = self.get_state(runner.id)
+            others = self._read_others(state.incarnation_hash)
             use.runners += 1
-            active = seen.active + others.active
-            limited = self._limits.find_rate(seen.mark) is not None
-            # Its rate fills no more of its slots than these.
-            places = min(runner.slots, max(1, active))
-            use.places += places if limited else runner.slots
+            active = state.active + others.active
+            limited = self._limits.find_rate(state.incarnation_hash) is not None
+            # Its rate limit leaves its remaining slots unused.
+            usable = min(runner.slots, max(1, active))
+            use.slots += usable if limited else runner.slots
             use.active += active
-            use.reading += seen.reading + others.reading
+            use.pending_tokens += state.pending_tokens + others.pending_tokens
         return use
 
     def settle(self, grant: outcomes.Grant) -> None:
-        """Notes that an attempt has ended."""
-        grant.note_first()
-        grant.standing.active -= 1
-        grant.standing.quick -= grant.quick
+        """Removes the load of an attempt that has ended."""
+        grant.record_prefill_done()
+        grant.state.active -= 1
+        grant.state.top_tier -= grant.top_tier
 
     def list_loads(self) -> loads.Table:
-        """Returns what this instance has under way at each runner."""
+        """Returns this instance's load on each runner."""
         return {
-            seen.mark: loads.Load(seen.active, int(seen.reading), seen.quick)
-            for seen in self._standings.values()
-            if seen.active
+            state.incarnation_hash: loads.Load(
+                state.active, int(state.pending_tokens), state.top_tier
+            )
+            for state in self._states.values()
+            if state.active
         }
 
     def when_long(self, call: Callable[[], None]) -> None:
-        """Calls `call` when a runner has been given a long prompt."""
+        """Registers a callback for long prompts that are sent to a runner."""
         self._on_long.append(call)
 
-    def take_news(
-        self, runner: ids.EndpointId, news: messages.CacheNews
+    def apply_cache_report(
+        self, runner: ids.EndpointId, report: messages.CacheReport
     ) -> int:
-        """Takes what a runner itself says that it keeps.
+        """Applies a runner's report of its own cache.
 
         Returns:
-            How many beliefs that changed.
+            The number of corrections to what was believed cached.
         """
         if self._registry.find(runner) is None:
-            return 0  # It was asked before it was known to be gone.
-        mark = self.find_standing(runner).mark
-        changes = self.caches.take_news(mark, news)
+            return 0  # The runner was removed while the report was fetched.
+        incarnation = self.get_state(runner).incarnation_hash
+        changes = self.caches.apply_report(incarnation, report)
         self._placed.extend(changes)
         return len(changes)
 
     def sweep(self) -> None:
-        """Forgets what others tell of runners that nobody knows here."""
-        self.caches.retain(self.list_marks())
+        """Forgets other instances' placements on runners unknown here."""
+        self.caches.retain(self.list_hashes())
 
     def take_placed(self) -> list[loads.Placed]:
-        """Returns what was placed since the last call."""
+        """Returns the placements since the last call."""
         placed, self._placed = self._placed, []
         return placed
 
-    def list_kept_in(self, data_centre: ids.DataCentre) -> list[loads.Placed]:
-        """Returns what runners of a data centre are believed to keep."""
+    def list_cached_in(self, data_centre: ids.DataCentre) -> list[loads.Placed]:
+        """Returns what a data centre's runners are believed to have cached."""
         near = {
-            self._mark(runner)
+            self._get_hash(runner)
             for runner in self._registry.list_all()
             if runner.data_centre == data_centre
         }
-        return self.caches.list_kept(near)
+        return self.caches.list_cached(near)
 
-    def find_standing(self, runner: ids.EndpointId) -> standing.Standing:
-        """Returns what is known of a runner."""
-        seen = self._standings.get(runner)
-        if seen is None:
+    def get_state(self, runner: ids.EndpointId) -> runner_state.RunnerState:
+        """Returns this instance's state of a runner, creating it if needed."""
+        state = self._states.get(runner)
+        if state is None:
             known = self._registry.find(runner)
             incarnation = (
                 model.Incarnation(runner)
                 if known is None
                 else known.incarnation
             )
-            seen = standing.Standing(loads.hash_name(incarnation.name))
-            self._standings[runner] = seen
-        return seen
+            state = runner_state.RunnerState(loads.hash_name(incarnation.name))
+            self._states[runner] = state
+        return state
 
-    def _mark(self, runner: model.Runner) -> int:
-        return self.find_standing(runner.id).mark
+    def _get_hash(self, runner: model.Runner) -> int:
+        return self.get_state(runner.id).incarnation_hash
 
-    def _leave_out_displaced(
-        self, takers: list[model.Runner]
+    def _exclude_displaced(
+        self, accepting: list[model.Runner]
     ) -> list[model.Runner]:
-        """Returns runners that are where their entries say, if any is."""
-        there = [
+        """Excludes runners displaced from their address, unless all are."""
+        present = [
             runner
-            for runner in takers
-            if self.find_standing(runner.id).displaced_from != runner.address
+            for runner in accepting
+            if self.get_state(runner.id).displaced_from != runner.address
         ]
-        return there or takers
+        return present or accepting
 
-    def _leave_out_limited(
-        self, takers: list[model.Runner], tier: ids.Tier, now: float
+    def _exclude_limited(
+        self, accepting: list[model.Runner], tier: ids.Tier, now: float
     ) -> list[model.Runner]:
-        """Returns the runners that may take a request of a tier now."""
+        """Returns the runners whose rate limits admit a request now."""
         return [
             runner
-            for runner in takers
-            if self._limits.find_blocked_until(self._mark(runner), tier, now)
+            for runner in accepting
+            if self._limits.find_blocked_until(
+                self._get_hash(runner), tier, now
+            )
             <= now
         ]
 
-    def _measure_limits(
-        self, takers: list[model.Runner], tier: ids.Tier, now: float
+    def _describe_limits(
+        self, accepting: list[model.Runner], tier: ids.Tier, now: float
     ) -> outcomes.Limited:
-        marks = [self._mark(runner) for runner in takers]
+        hashes = [self._get_hash(runner) for runner in accepting]
         until = min(
-            self._limits.find_blocked_until(mark, tier, now) for mark in marks
+            self._limits.find_blocked_until(each, tier, now) for each in hashes
         )
-        rate = sum(self._limits.find_rate(mark) or 0.0 for mark in marks)
+        rate = sum(self._limits.find_rate(each) or 0.0 for each in hashes)
         return outcomes.Limited(until - now, rate)
 
-    def _list_least(
+    def _choose_for_suspect(
         self,
-        takers: list[model.Runner],
+        accepting: list[model.Runner],
         suspect: ids.RequestDigest,
         now: float,
     ) -> list[model.Runner]:
-        """Returns the runner with the least under way, of two.
+        """Returns the less busy of two runners chosen by rendezvous hashing.
 
-        All instances choose the same two for a request by hashing, so that it
-        ends two at most though it comes at many at once.
+        All instances choose the same two for a request, so that it crashes two
+        runners at most even if many instances receive it at once.
         """
-        calm = [
+        healthy = [
             runner
-            for runner in takers
-            if self.find_standing(runner.id).shunned_until <= now
+            for runner in accepting
+            if self.get_state(runner.id).avoid_until <= now
         ]
         two = heapq.nlargest(
             2,
-            calm or takers,
+            healthy or accepting,
             key=lambda runner: xxhash.xxh64_intdigest(
                 runner.incarnation.name, suspect
             ),
@@ -300,111 +315,136 @@
         return [min(two, key=self._count_active)]
 
     def _count_active(self, runner: model.Runner) -> int:
-        seen = self.find_standing(runner.id)
-        return seen.active + self._read_others(seen.mark).active
-
-    def _make_offer(
-        self, demand: offers.Demand, runner: model.Runner, now: float
-    ) -> offers.Offer:
-        seen = self.find_standing(runner.id)
-        cost = seen.failing * _FAILING_S
-        if now < seen.shunned_until:
-            cost += _SHUNNED_S
-        others = self._read_others(seen.mark)
-        active = seen.active + others.active
-        if not demand.parts:
-            return offers.Offer(runner, seen, cost + active * _PLAIN_ACTIVE_S)
-        unread = self.caches.count_unread(seen.mark, demand.shared)
+        state = self.get_state(runner.id)
+        return state.active + self._read_others(state.incarnation_hash).active
+
+    def _make_candidate(
+        self,
+        profile: candidates.RequestProfile,
+        runner: model.Runner,
+        now: float,
+    ) -> candidates.Candidate:
+        state = self.get_state(runner.id)
+        cost = state.failure_rate * _FAILURE_COST_S
+        if now < state.avoid_until:
+            cost += _AVOIDED_COST_S
+        others = self._read_others(state.incarnation_hash)
+        active = state.active + others.active
+        if not profile.parts:
+            return candidates.Candidate(
+                runner, state, cost + active * _PLAIN_ACTIVE_COST_S
+            )
+        uncached = self.caches.count_uncached(
+            state.incarnation_hash, profile.shared
+        )
         if active >= runner.slots:
-            cost += _FULL_S
-        reading = seen.reading + others.reading
-        cost += (reading + demand.own_tokens) / offers.READ_RATE
-        cost += active * _ACTIVE_S
-        quick = seen.quick + others.quick
-        return offers.Offer(
+            cost += _FULL_COST_S
+        pending = state.pending_tokens + others.pending_tokens
+        cost += (
+            pending + profile.unshared_tokens
+        ) / candidates.PREFILL_TOKENS_PER_S
+        cost += active * _ACTIVE_COST_S
+        top_tier = state.top_tier + others.top_tier
+        return candidates.Candidate(
             runner=runner,
-            standing=seen,
+            state=state,
             cost=cost,
-            unread=unread,
-            anew=unread,
-            reading=reading,
-            quick=quick,
+            uncached_tokens=uncached,
+            prefill_tokens=uncached,
+            pending_tokens=pending,
+            top_tier=top_tier,
         )
 
     def _grant(
-        self, demand: offers.Demand, offer: offers.Offer
+        self,
+        profile: candidates.RequestProfile,
+        candidate: candidates.Candidate,
     ) -> outcomes.Grant:
-        seen = offer.standing
-        reading = offer.anew + demand.own_tokens
-        seen.active += 1
-        quick = 1 if demand.quick else 0
-        seen.quick += quick
-        seen.reading += reading
+        state = candidate.state
+        pending = candidate.prefill_tokens + profile.unshared_tokens
+        state.active += 1
+        top_tier = 1 if profile.top_tier else 0
+        state.top_tier += top_tier
+        state.pending_tokens += pending
         grant = outcomes.Grant(
-            runner=offer.runner,
-            standing=seen,
-            reading=reading,
-            cost=offer.cost,
-            unread=offer.unread,
-            quick=quick,
-            source=offer.source,
-            limited=self._limits.find_rate(seen.mark) is not None,
+            runner=candidate.runner,
+            state=state,
+            pending_tokens=pending,
+            cost=candidate.cost,
+            uncached_tokens=candidate.uncached_tokens,
+            top_tier=top_tier,
+            source=candidate.source,
+            limited=self._limits.find_rate(state.incarnation_hash) is not None,
         )
         if not grant.limited:
-            self._place(demand, grant)
+            self._record_placement(profile, grant)
         return grant
 
-    def _place(self, demand: offers.Demand, grant: outcomes.Grant) -> None:
-        """Notes which parts of prompts the runner will have read."""
-        runner = grant.standing.mark
-        for part in demand.shared:
-            mark = caches.hash_part(part)
-            self.caches.note(runner, mark)
-            if grant.unread:
-                self._placed.append(loads.Placed(mark, runner))
-        if grant.reading > _LONG_TOKENS:
-            for tell in self._on_long:
-                tell()
-
-    def _list_leavers(self, demand: offers.Demand) -> list[offers.Offer]:
-        """Returns runners that take no new work and keep the shared parts.
-
-        Until they end others may copy from them what is lost with them.
+    def _record_placement(
+        self, profile: candidates.RequestProfile, grant: outcomes.Grant
+    ) -> None:
+        """Records the prompt parts that the runner will have cached."""
+        runner = grant.state.incarnation_hash
+        for part in profile.shared:
+            part_hash = prefix_index.hash_part(part)
+            self.caches.add(runner, part_hash)
+            if grant.uncached_tokens:
+                self._placed.append(loads.Placed(part_hash, runner))
+        if grant.pending_tokens > _LONG_PROMPT_TOKENS:
+            for call in self._on_long:
+                call()
+
+    def _list_leaving_holders(
+        self, profile: candidates.RequestProfile
+    ) -> list[candidates.Candidate]:
+        """Returns leaving runners that have the shared parts cached.
+
+        Other runners can copy the parts from them until they end.
         """
         return [
-            offers.Offer(runner, seen, 0.0)
-            for runner, seen in self._leavers.values()
-            if runner.service == demand.service
-            and not self.caches.count_unread(seen.mark, demand.shared)
+            candidates.Candidate(runner, state, 0.0)
+            for runner, state in self._leaving.values()
+            if runner.service == profile.service
+            and not self.caches.count_uncached(
+                state.incarnation_hash, profile.shared
+            )
         ]
 
     def _forget(self, runner: ids.EndpointId) -> None:
         known = self._registry.find(runner)
-        seen = self._standings.pop(runner, None)
-        if known is not None and known.leaving and seen is not None:
-            self._leavers[runner] = known, seen
+        state = self._states.pop(runner, None)
+        if known is not None and known.leaving and state is not None:
+            self._leaving[runner] = known, state
             return
-        left = self._leavers.pop(runner, None)
-        if left is not None:
-            self.caches.forget(left[1].mark)
-        if seen is not None:
-            self.caches.forget(seen.mark)
+        departed = self._leaving.pop(runner, None)
+        if departed is not None:
+            self.caches.forget(departed[1].incarnation_hash)
+        if state is not None:
+            self.caches.forget(state.incarnation_hash)
 
 
-def _find_wait(offer: offers.Offer, demand: offers.Demand) -> float:
-    """Returns seconds until a runner would have read a prompt."""
-    tokens = offer.reading + offer.anew + demand.own_tokens
-    return tokens / offers.READ_RATE
+def _find_wait(
+    candidate: candidates.Candidate, profile: candidates.RequestProfile
+) -> float:
+    """Returns the seconds until a runner would have processed a prompt."""
+    tokens = (
+        candidate.pending_tokens
+        + candidate.prefill_tokens
+        + profile.unshared_tokens
+    )
+    return tokens / candidates.PREFILL_TOKENS_PER_S
 
 
 def _is_overloaded(
-    offer: offers.Offer, demand: offers.Demand, longest_s: float
+    candidate: candidates.Candidate,
+    profile: candidates.RequestProfile,
+    max_wait_s: float,
 ) -> bool:
-    """Returns whether a prompt would be read too late for what is before it.
+    """Returns whether a runner's backlog would delay a prompt too much.
 
-    One that is late by its own length alone is no reason to refuse it.
+    A prompt that takes too long by its own length alone isn't refused.
     """
-    before_s = offer.reading / offers.READ_RATE
-    if before_s <= longest_s * _ALWAYS_TAKEN:
+    backlog_s = candidate.pending_tokens / candidates.PREFILL_TOKENS_PER_S
+    if backlog_s <= max_wait_s * _MAX_IDLE_BACKLOG:
         return False
-    return _find_wait(offer, demand) > longest_s
+    return _find_wait(candidate, profile) > max_wait_s
--- a/pollenfork/fleet/copies.py
+++ b/pollenfork/fleet/copies.py
@@ -1,62 +1,67 @@
-"""From whom a runner can copy shared parts of a prompt instead of reading.
+"""Selects the runners from which cached prompt parts are copied.
 
-A copy takes a fraction of the time of reading, but it fills the copier's
-memory all the same and pushes other prompts out. So copies replace reading
-where a prompt goes anyway; they don't make prompts go elsewhere.
+Copying a cached part is much faster than processing it again, but it occupies
+just as much of the destination's cache and evicts other prompts. Copies
+therefore replace processing where a prompt is routed anyway; they don't
+influence the routing.
 """
 
 from collections.abc import Sequence
 
+from pollenfork.fleet import candidates
 from pollenfork.fleet import model
-from pollenfork.fleet import offers
 
-# A copy of fewer tokens than this saves less than its own handshake takes.
-_LEAST_TOKENS = 1000
-# Where a copy takes more than this part of the time of reading, the link
-# between runners is too slow for it to be worth its bytes.
-_LARGEST_PART = 0.5
+# Copying fewer tokens than this saves less time than the handshake costs.
+_MIN_COPY_TOKENS = 1000
+# Above this ratio of copy time to processing time, the link between runners is
+# too slow to be worth the bandwidth.
+_MAX_TIME_RATIO = 0.5
 
 
 def find_sources(
-    demand: offers.Demand,
-    found: list[offers.Offer],
+    profile: candidates.RequestProfile,
+    found: list[candidates.Candidate],
     now: float,
-    leavers: Sequence[offers.Offer] = (),
+    leaving: Sequence[candidates.Candidate] = (),
 ) -> None:
-    """Notes for each offer from whom its runner would copy.
+    """Sets for each candidate the runner it would copy from.
 
     Args:
-        demand: What is asked.
-        found: Offers of all runners that take work.
+        profile: What the request needs.
+        found: All runners that accept work.
         now: Monotonic seconds.
-        leavers: Those that take none any more and keep the shared parts; asked
-            where no other one does.
+        leaving: Leaving runners that have the shared parts cached; used only
+            if no other runner has them.
     """
-    if demand.copy_s is None:
+    if profile.copy_s is None:
         return
-    part = demand.copy_s * offers.READ_RATE
-    if part > _LARGEST_PART:
+    ratio = profile.copy_s * candidates.PREFILL_TOKENS_PER_S
+    if ratio > _MAX_TIME_RATIO:
         return
-    holders = [offer for offer in found if _is_source(offer, now)]
-    holders = holders or [each for each in leavers if _is_source(each, now)]
-    for offer in found:
-        if holders and offer.unread >= _LEAST_TOKENS:
-            offer.source = _choose_source(offer, holders)
-            offer.anew = offer.unread * part
+    holders = [candidate for candidate in found if _is_source(candidate, now)]
+    holders = holders or [each for each in leaving if _is_source(each, now)]
+    for candidate in found:
+        if holders and candidate.uncached_tokens >= _MIN_COPY_TOKENS:
+            candidate.source = _choose_source(candidate, holders)
+            candidate.prefill_tokens = candidate.uncached_tokens * ratio
 
 
-def _is_source(offer: offers.Offer, now: float) -> bool:
-    """Returns whether a runner has the shared parts and can be relied on."""
-    seen = offer.standing
-    return not offer.unread and not seen.failures and now >= seen.shunned_until
+def _is_source(candidate: candidates.Candidate, now: float) -> bool:
+    """Returns whether a runner has the shared parts and is reliable."""
+    state = candidate.state
+    return (
+        not candidate.uncached_tokens
+        and not state.failures
+        and now >= state.avoid_until
+    )
 
 
 def _choose_source(
-    offer: offers.Offer, holders: list[offers.Offer]
+    candidate: candidates.Candidate, holders: list[candidates.Candidate]
 ) -> model.Runner:
-    """Returns the least loaded holder, of the same data centre if any is."""
-    data_centre = offer.runner.data_centre
+    """Returns the least loaded holder, preferring the same data centre."""
+    data_centre = candidate.runner.data_centre
     near = [
         holder for holder in holders if holder.runner.data_centre == data_centre
     ]
-    return min(near or holders, key=lambda holder: holder.reading).runner
+    return min(near or holders, key=lambda holder: holder.pending_tokens).runner
--- a/pollenfork/fleet/evidence.py
+++ b/pollenfork/fleet/evidence.py
@@ -1,8 +1,9 @@
-"""What instances have found out of runners by themselves, told to all.
+"""Failures of runners that instances observe and share with each other.
 
-A runner that crashes says nothing, and its entry lapses seconds later. Without
-this each instance finds out at its own callers' expense: where a quarter of 59
-runners crashed before 195 instances, 104 sends a runner came to nothing.
+A crashed runner announces nothing, and its registry entry expires only seconds
+later. Without sharing, each instance discovers the crash with its own callers'
+requests: when a quarter of 59 runners crashed and 195 instances used them, 104
+sends per crashed runner failed.
 """
 
 import collections
@@ -12,96 +13,102 @@
 from pollenfork import ids
 from pollenfork.fleet import model
 from pollenfork.fleet import registry
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 from pollenfork.loads import messages
 
 _LOG = logging.getLogger(__name__)
 
-# Others go first for this long after a runner was found unreachable elsewhere,
-# in seconds. Whoever tries it then tells all again, so it costs a few sends a
-# second whatever the number of instances; one that is back soon takes work.
-_PAUSE_S = 0.8
-# Silence proves something where witnesses agree within this time, in seconds:
-# a lost packet makes one connection fail, rarely two to the same runner.
-_AGREED_S = 1.0
+# How long other runners are preferred after another instance found a runner
+# unreachable, in seconds. The next instance to try it tells all again, so this
+# costs a few sends per second whatever the number of instances, and a runner
+# that recovers soon gets work again.
+_AVOID_S = 0.8
+# A connection timeout is believed if several instances report it within this
+# time, in seconds: a lost packet makes one connection fail, rarely two to the
+# same runner.
+_AGREEMENT_S = 1.0
 _WITNESSES = 2
-# Own findings that wait to be told; where nobody is there to be told, as many
-# stay. A busy instance makes a few a second while runners are down.
-_FOUND_LIMIT = 200
+# The maximum number of own findings waiting to be sent, which is also what is
+# kept if there is no peer to send them to. A busy instance makes a few per
+# second while runners are down.
+_MAX_FOUND = 200
 
 Sign = messages.Sign
 
 
 class Evidence:
-    """Takes findings, and keeps those of this instance to be told."""
+    """Applies findings, and queues those of this instance for sending."""
 
     def __init__(
         self,
         runners: registry.Registry,
-        find_standing: Callable[[ids.EndpointId], standing.Standing],
+        get_state: Callable[[ids.EndpointId], runner_state.RunnerState],
         data_centre: ids.DataCentre,
     ) -> None:
-        """Starts with nothing found.
+        """Creates an empty queue of findings.
 
         Args:
             runners: The runners of all services.
-            find_standing: Returns what is known of a runner.
+            get_state: Returns this instance's state of a runner.
             data_centre: Where this instance runs.
         """
         self._runners = runners
-        self._find_standing = find_standing
+        self._get_state = get_state
         self._data_centre = data_centre
         self._found: collections.deque[messages.Finding] = collections.deque(
-            maxlen=_FOUND_LIMIT
+            maxlen=_MAX_FOUND
         )
-        # Who found a runner silent, and when, by its place.
+        # Reports of connection timeouts and their times, by runner hash.
         self._silent: dict[int, dict[messages.Finding, float]] = {}
         self.counts: collections.Counter[Sign] = collections.Counter()
         self._on_ended: list[Callable[[int, bool], None]] = []
 
     def when_ended(self, call: Callable[[int, bool], None]) -> None:
-        """Calls `call` with the mark of each runner that has ended.
+        """Registers a callback for runners that have ended.
 
-        Nobody listens where it was, or another one answers there. The second
-        argument is whether that was found here, and not told.
+        Either its address refuses connections or another runner answers there.
+        The callback gets the runner's hash and whether this instance observed
+        the end itself.
         """
         self._on_ended.append(call)
 
-    def note(self, runner: model.Runner, sign: Sign) -> None:
-        """Takes what this instance has found."""
-        place = mark(runner)
-        self._found.append(messages.Finding(place, sign))
-        self._tell_ended(place, sign, here=True)
+    def record(self, runner: model.Runner, sign: Sign) -> None:
+        """Records a finding of this instance."""
+        runner_hash = hash_runner(runner)
+        self._found.append(messages.Finding(runner_hash, sign))
+        self._notify_ended(runner_hash, sign, local=True)
         if sign is Sign.DISPLACED:
-            self._find_standing(runner.id).displaced_from = runner.address
+            self._get_state(runner.id).displaced_from = runner.address
 
     def take_found(self) -> list[messages.Finding]:
-        """Returns what this instance has found since the last call."""
+        """Returns this instance's findings since the last call."""
         found = list(self._found)
         self._found.clear()
         return found
 
-    def take(self, finding: messages.Finding, now: float) -> None:
-        """Takes what another instance has found.
+    def receive(self, finding: messages.Finding, now: float) -> None:
+        """Applies a finding of another instance.
 
         Args:
-            finding: What, and how long ago.
+            finding: What was found, and how long ago.
             now: Monotonic seconds.
         """
-        self._tell_ended(finding.place, finding.sign, here=False)
+        self._notify_ended(finding.place, finding.sign, local=False)
         runner = self._find_runner(finding.place)
         if runner is None:
             return
-        if finding.sign is Sign.SILENT and not self._is_agreed(finding, now):
+        if finding.sign is Sign.SILENT and not self._is_corroborated(
+            finding, now
+        ):
             return
-        seen = self._find_standing(runner.id)
-        before = seen.shunned_until, seen.displaced_from
+        state = self._get_state(runner.id)
+        before = state.avoid_until, state.displaced_from
         if finding.sign is Sign.DISPLACED:
-            seen.displaced_from = runner.address
+            state.displaced_from = runner.address
         else:
-            until = now - finding.age_s + _PAUSE_S
-            seen.shunned_until = max(seen.shunned_until, until)
-        if before == (seen.shunned_until, seen.displaced_from):
+            until = now - finding.age_s + _AVOID_S
+            state.avoid_until = max(state.avoid_until, until)
+        if before == (state.avoid_until, state.displaced_from):
             return
         self.counts[finding.sign] += 1
         _LOG.info(
@@ -112,19 +119,19 @@
             finding.age_s * 1000,
         )
 
-    def _tell_ended(self, place: int, sign: Sign, here: bool) -> None:
+    def _notify_ended(self, runner_hash: int, sign: Sign, local: bool) -> None:
         if sign is not Sign.SILENT:
             for call in self._on_ended:
-                call(place, here)
+                call(runner_hash, local)
 
-    def _is_agreed(self, finding: messages.Finding, now: float) -> bool:
-        """Returns whether a runner's silence isn't that of one way alone.
+    def _is_corroborated(self, finding: messages.Finding, now: float) -> bool:
+        """Returns whether a timeout is due to the runner, not a network path.
 
-        Two witnesses of this data centre have the same ways as this instance;
-        of others, two data centres must agree, so that one that is cut off
-        doesn't speak for all.
+        Two witnesses in this data centre suffice, as they share this instance's
+        network paths. Otherwise two data centres must agree, so that a single
+        partitioned one isn't believed.
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         witnesses = self._silent.setdefault(finding.place, {})
         for known in [
             each for each in witnesses if each.witness == finding.witness
@@ -137,25 +144,26 @@
         centres = {each.data_centre for each in witnesses}
         return len(near) >= _WITNESSES or len(centres) >= _WITNESSES
 
-    def _forget_old(self, now: float) -> None:
-        for place, witnesses in list(self._silent.items()):
+    def _drop_expired(self, now: float) -> None:
+        for runner_hash, witnesses in list(self._silent.items()):
             for known, at in list(witnesses.items()):
-                if now - at > _AGREED_S:
+                if now - at > _AGREEMENT_S:
                     del witnesses[known]
             if not witnesses:
-                del self._silent[place]
+                del self._silent[runner_hash]
 
-    def _find_runner(self, place: int) -> model.Runner | None:
+    def _find_runner(self, runner_hash: int) -> model.Runner | None:
         for runner in self._runners.list_all():
-            if mark(runner) == place:
+            if hash_runner(runner) == runner_hash:
                 return runner
         return None
 
 
-def mark(runner: model.Runner) -> int:
-    """Returns what stands for a runner's start at its address.
+def hash_runner(runner: model.Runner) -> int:
+    """Returns the hash of a runner's incarnation and its address.
 
-    One that has moved isn't meant by what was found at its address before.
+    Findings about an earlier address thus don't apply to a runner that has
+    moved.
     """
     address = f" {runner.host}:{runner.port}".encode()
     return messages.hash_name(runner.incarnation.name + address)
--- a/pollenfork/fleet/messages.py
+++ b/pollenfork/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What became of a request at a runner, and what runners say they keep."""
+"""The results of attempts at runners, and runners' own cache reports."""
 
 import enum
 
@@ -11,8 +11,8 @@
     """How an attempt at a runner ended, and what that proves.
 
     `UNSENT`, `REFUSED` and `DISPLACED` prove that the request hasn't run;
-    after `BROKEN` and `SILENT` it may have. `DISPLACED` proves besides that
-    the runner is gone: another one answers at its address.
+    after `BROKEN` and `SILENT` it may have. `DISPLACED` also proves that the
+    runner is gone, because another runner answers at its address.
     """
 
     WHOLE = "whole"
@@ -24,53 +24,55 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Whether the request surely hasn't run there."""
+        """Whether the request is certain not to have run on the runner."""
         return self in (End.UNSENT, End.REFUSED, End.DISPLACED)
 
 
 class CacheChange(msgspec.Struct, frozen=True):
-    """A runner keeps a part of a prompt, or has lost it.
+    """A runner has added a prompt part to its cache or evicted it.
 
     Attributes:
-        part: What identifies the part's text.
-        kept: Whether it is kept now.
+        part: The name that identifies the part's text.
+        kept: Whether the part is in the cache now.
     """
 
     part: bytes
     kept: bool
 
 
-class CacheNews(msgspec.Struct, frozen=True):
-    """What a runner says of the parts of prompts in its memory.
+class CacheReport(msgspec.Struct, frozen=True):
+    """A runner's report of the prompt parts in its cache.
 
     Attributes:
-        changes: In the order in which they came about.
-        through: The number of the last change, from which to go on.
-        whole: Whether these are all parts kept, not changes.
-        gap: Whether changes before these are missing.
-        epoch: Another one where its numbers begin anew, as it does itself.
-        start: When it started; None where it doesn't say.
+        changes: The changes, oldest first.
+        last_sequence: The sequence number of the last change, from which the
+            next report continues.
+        complete: Whether `changes` lists the whole cache rather than changes
+            to it.
+        gap: Whether earlier changes are missing.
+        epoch: An identifier that changes when the numbering restarts.
+        start: When the runner started; None if it doesn't say.
     """
 
     changes: tuple[CacheChange, ...]
-    through: int
-    whole: bool = False
+    last_sequence: int
+    complete: bool = False
     gap: bool = False
     epoch: str = ""
     start: ids.RunnerStart | None = None
 
 
-class Use(msgspec.Struct):
-    """What the runners of a service have under way in all.
+class Utilization(msgspec.Struct):
+    """The total load of a service's runners.
 
     Attributes:
-        runners: Those that take work.
-        places: Requests that they work on at once.
-        active: Requests that they work on.
-        reading: Prompt tokens that they have yet to read.
+        runners: Runners that accept work.
+        slots: Requests that they can run concurrently.
+        active: Requests that they are running.
+        pending_tokens: Prompt tokens that they have yet to process.
     """
 
     runners: int = 0
-    places: int = 0
+    slots: int = 0
     active: int = 0
-    reading: float = 0.0
+    pending_tokens: float = 0.0
--- a/pollenfork/fleet/outcomes.py
+++ b/pollenfork/fleet/outcomes.py
@@ -1,31 +1,31 @@
-"""What may come of choosing a runner for a request."""
+"""The possible results of selecting a runner for a request."""
 
 import msgspec
 
 from pollenfork.fleet import model
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 
 
 class Overloaded(msgspec.Struct, frozen=True):
-    """The best runner has more to read than a request may wait for.
+    """The best runner's backlog is longer than the request may wait.
 
     Attributes:
-        wait_s: Seconds until it would have read the request's prompt.
+        wait_s: Seconds until that runner would have processed the prompt.
     """
 
     wait_s: float
 
 
-class OutOfReach(msgspec.Struct, frozen=True):
-    """No connection can be made to any runner that takes work."""
+class Unreachable(msgspec.Struct, frozen=True):
+    """No runner that accepts work can be connected to."""
 
 
 class Limited(msgspec.Struct, frozen=True):
-    """Each runner in reach is at its rate limit.
+    """Every reachable runner is at its rate limit.
 
     Attributes:
-        wait_s: Seconds until one of them may take a request again.
-        rate: Requests a second that they take in all.
+        wait_s: Seconds until one of them may accept a request again.
+        rate: The sum of their limits in requests per second.
     """
 
     wait_s: float
@@ -33,40 +33,41 @@
 
 
 class Grant(msgspec.Struct):
-    """A runner chosen for one attempt, until it is settled.
+    """A runner selected for one attempt, until the attempt is settled.
 
     Attributes:
         runner: The runner.
-        standing: What is known of it.
-        reading: Prompt tokens that it is expected to read.
-        cost: Seconds until an answer would begin there, weighed.
-        unread: Tokens of shared parts that it hasn't read.
-        source: The runner from which it copies them; None: it reads them.
-        holders: Runners of the service that have read them all.
-        kept_cost: The least cost among those; 0 where there is none.
-        quick: 1 where it counts as of the most urgent tier.
-        crowd_s: What the service's runners have to read on average, in
+        state: This instance's state of the runner.
+        pending_tokens: Prompt tokens that the runner is expected to process.
+        cost: The candidate's weighted cost in seconds until the first token.
+        uncached_tokens: Tokens of shared parts that the runner hasn't cached.
+        source: The runner to copy the shared parts from; None: they are
+            processed from scratch.
+        holders: Number of candidates that have all shared parts cached.
+        holder_cost: The lowest cost among those; 0 if there are none.
+        top_tier: 1 if the attempt counts as of the most urgent tier, else 0.
+        mean_backlog_s: The mean prompt backlog of the service's runners, in
             seconds.
-        limited: Whether the runner has a rate limit. Then it is to be
-            confirmed once a permit is there.
+        limited: Whether the runner has a rate limit. The grant must then be
+            confirmed once a permit is available.
     """
 
     runner: model.Runner
-    standing: standing.Standing
-    reading: float
+    state: runner_state.RunnerState
+    pending_tokens: float
     cost: float = 0.0
-    unread: int = 0
+    uncached_tokens: int = 0
     source: model.Runner | None = None
     holders: int = 0
-    kept_cost: float = 0.0
-    quick: int = 0
-    crowd_s: float = 0.0
+    holder_cost: float = 0.0
+    top_tier: int = 0
+    mean_backlog_s: float = 0.0
     limited: bool = False
 
-    def note_first(self) -> None:
-        """Notes that the prompt has been read."""
-        self.standing.reading -= self.reading
-        self.reading = 0.0
+    def record_prefill_done(self) -> None:
+        """Records that the runner has processed the prompt."""
+        self.state.pending_tokens -= self.pending_tokens
+        self.pending_tokens = 0.0
 
 
-Outcome = Grant | Overloaded | OutOfReach | Limited | None
+Outcome = Grant | Overloaded | Unreachable | Limited | None
--- a/pollenfork/fleet/registry.py
+++ b/pollenfork/fleet/registry.py
@@ -1,4 +1,4 @@
-"""Which runners there are, by the registry's rows."""
+"""The known runners, as the registry table lists them."""
 
 import collections
 from collections.abc import Callable
@@ -9,71 +9,78 @@
 from pollenfork import ids
 from pollenfork.fleet import model
 
-# Runners whose latest start is remembered, those that have left among them, so
-# that late news of an earlier one is known as such. Some 200 bytes each.
-_STARTS_REMEMBERED = 4096
+# The number of runners, departed ones included, whose latest start is kept, so
+# that delayed updates about an earlier incarnation are recognised. About 200
+# bytes each.
+_MAX_STARTS = 4096
 
 
-class Removal(enum.Enum):
-    """What came of the news that an entry is gone."""
+class RemoveResult(enum.Enum):
+    """The result of removing an entry."""
 
-    UNKNOWN = "unknown"  # Nobody knew of the runner.
-    DROPPED = "dropped"  # It takes no more work.
-    KEPT = "kept"  # Its entry may only have lapsed; it takes work meanwhile.
+    UNKNOWN = "unknown"  # The runner wasn't known.
+    DROPPED = "dropped"  # The runner accepts no more work.
+    # The entry may only have expired; the runner accepts work meanwhile.
+    KEPT = "kept"
 
 
-class Arrival(enum.Enum):
-    """What came of an entry."""
+class PutResult(enum.Enum):
+    """The result of adding or updating an entry."""
 
-    TAKEN = "taken"  # It is in force.
-    RESTARTED = "restarted"  # It is, and its runner has started anew.
-    OUTDATED = "outdated"  # It is of a start before the known one.
+    TAKEN = "taken"  # The entry is in use.
+    RESTARTED = "restarted"  # It is in use, and the runner has restarted.
+    OUTDATED = "outdated"  # It belongs to an earlier incarnation.
 
 
 class Registry:
     """The runners of every service.
 
-    An entry may vanish because its runner left, or because nobody could renew
-    it while the store was away. In the latter case it is kept for a moment.
+    An entry may be removed because its runner left, or because it couldn't be
+    renewed while the store was unavailable. In the latter case the entry is
+    kept for a short time.
 
     Attributes:
-        kept: How often an entry that vanished was kept.
+        kept: How many removed entries were kept.
     """
 
     def __init__(self) -> None:
         self._runners: dict[ids.EndpointId, model.Runner] = {}
         self._services: dict[ids.ServiceName, dict[ids.EndpointId, None]] = {}
-        self._lapsed: dict[ids.EndpointId, float] = {}
-        self._trusted_until = 0.0
+        self._expiring: dict[ids.EndpointId, float] = {}
+        self._kept_until = 0.0
         self.kept = 0
         self._on_gone: list[Callable[[ids.EndpointId], None]] = []
         self._on_restart: list[Callable[[model.Runner], None]] = []
-        # The latest start of each runner, also of those that have left.
+        # The latest start of each runner, departed ones included.
         self._starts: collections.OrderedDict[
             ids.EndpointId, ids.RunnerStart
         ] = collections.OrderedDict()
 
     def when_restarted(self, call: Callable[[model.Runner], None]) -> None:
-        """Calls `call` with each runner that has started anew under its id.
+        """Registers a callback for runners that restart under the same id.
 
-        Whatever was believed of it is forgotten by then.
+        When it is called, all state of the earlier incarnation is discarded.
         """
         self._on_restart.append(call)
 
     def when_gone(self, call: Callable[[ids.EndpointId], None]) -> None:
-        """Calls `call` with each runner that takes no more work."""
+        """Registers a callback for runners that accept no more work."""
         self._on_gone.append(call)
 
-    def put(self, runner: model.Runner) -> Arrival:
-        """Takes a runner's entry, newer by the registry than the one known."""
+    def put(self, runner: model.Runner) -> PutResult:
+        """Adds or updates an entry.
+
+        Args:
+            runner: The entry, which the registry orders after the known one.
+        """
         if self._is_outdated(runner):
-            return Arrival.OUTDATED
-        started_anew = self._note_start(runner)
+            return PutResult.OUTDATED
+        started_again = self._update_start(runner)
         old = self._runners.get(runner.id)
-        self._lapsed.pop(runner.id, None)
-        # What ran there before may still be waited for, though its entry has
-        # been gone meanwhile.
-        restarted = started_anew or (
+        self._expiring.pop(runner.id, None)
+        # Requests of the earlier incarnation may still be awaited, even though
+        # its entry has been removed meanwhile.
+        restarted = started_again or (
             old is not None and runner.is_restart_of(old)
         )
         if old is not None and (restarted or old.service != runner.service):
@@ -81,70 +88,70 @@
         self._runners[runner.id] = runner
         self._services.setdefault(runner.service, {})[runner.id] = None
         if runner.leaving and not (old is not None and old.leaving):
-            self._tell_gone(runner.id)
+            self._notify_gone(runner.id)
         if not restarted:
-            return Arrival.TAKEN
+            return PutResult.TAKEN
         for call in self._on_restart:
             call(runner)
-        return Arrival.RESTARTED
+        return PutResult.RESTARTED
 
-    def note_start(
+    def record_start(
         self, runner: ids.EndpointId, start: ids.RunnerStart | None
-    ) -> Arrival:
-        """Takes what a runner's own answer says of its start."""
+    ) -> PutResult:
+        """Updates a runner's start from what the runner itself reported."""
         known = self._runners.get(runner)
         if known is None or known.start is None or start is None:
-            return Arrival.TAKEN
+            return PutResult.TAKEN
         if start == known.start:
-            return Arrival.TAKEN
-        # It leaves no more than it has left: that was the one before.
-        told = msgspec.structs.replace(known, start=start, leaving=False)
-        return self.put(told)
+            return PutResult.TAKEN
+        # Only the earlier incarnation was leaving, not the new one.
+        updated = msgspec.structs.replace(known, start=start, leaving=False)
+        return self.put(updated)
 
-    def remove(self, runner: ids.EndpointId, now: float) -> Removal:
-        """Takes the news that a runner's entry is gone."""
+    def remove(self, runner: ids.EndpointId, now: float) -> RemoveResult:
+        """Handles the removal of a runner's entry from the registry."""
         known = self._runners.get(runner)
         if known is None:
-            return Removal.UNKNOWN
-        if now < self._trusted_until and not known.leaving:
-            self._lapsed[runner] = self._trusted_until
+            return RemoveResult.UNKNOWN
+        if now < self._kept_until and not known.leaving:
+            self._expiring[runner] = self._kept_until
             self.kept += 1
-            return Removal.KEPT
+            return RemoveResult.KEPT
         self._drop(runner)
-        return Removal.DROPPED
+        return RemoveResult.DROPPED
 
     def drop(self, runner: ids.EndpointId) -> None:
-        """Takes the news that a runner's entry names no runner any more."""
-        self._lapsed.pop(runner, None)
+        """Drops a runner whose entry has become invalid."""
+        self._expiring.pop(runner, None)
         if runner in self._runners:
             self._drop(runner)
 
-    def keep_until(self, until: float) -> None:
-        """Takes until when entries that vanish may only have lapsed.
+    def keep_removed_until(self, until: float) -> None:
+        """Sets until when removed entries are assumed to have expired only.
 
         Args:
             until: Monotonic seconds.
         """
-        self._trusted_until = until
+        self._kept_until = until
 
     def expire(self, now: float) -> list[ids.EndpointId]:
-        """Drops the entries that lapsed and didn't come back; returns them."""
-        due = [each for each, until in self._lapsed.items() if now >= until]
+        """Drops kept entries that weren't renewed in time; returns them."""
+        due = [each for each, until in self._expiring.items() if now >= until]
         for runner in due:
-            del self._lapsed[runner]
+            del self._expiring[runner]
             self._drop(runner)
         return due
 
-    def read_kept_until(self, runner: ids.EndpointId) -> float | None:
-        """Returns until when a removed entry is kept; None where it isn't."""
-        return self._lapsed.get(runner)
+    def get_kept_until(self, runner: ids.EndpointId) -> float | None:
+        """Returns until when a removed entry is kept; None if it isn't."""
+        return self._expiring.get(runner)
 
     def find(self, runner: ids.EndpointId) -> model.Runner | None:
-        """Returns the runner's entry."""
+        """Returns the runner's entry; None if it isn't known."""
         return self._runners.get(runner)
 
-    def list_takers(self, service: ids.ServiceName) -> list[model.Runner]:
-        """Returns the service's runners that take new work."""
+    def list_accepting(self, service: ids.ServiceName) -> list[model.Runner]:
+        """Returns the service's runners that accept new work."""
         return [
             self._runners[each]
             for each in self._services.get(service, ())
@@ -157,7 +164,7 @@
 
     @property
     def size(self) -> int:
-        """The number of runners known."""
+        """The number of known runners."""
         return len(self._runners)
 
     def _is_outdated(self, runner: model.Runner) -> bool:
@@ -168,22 +175,22 @@
             and runner.start < latest
         )
 
-    def _note_start(self, runner: model.Runner) -> bool:
-        """Takes a runner's start; returns whether an earlier one was known."""
+    def _update_start(self, runner: model.Runner) -> bool:
+        """Stores a runner's start; returns whether it replaces one."""
         if runner.start is None:
             return False
         before = self._starts.get(runner.id)
         self._starts[runner.id] = runner.start
         self._starts.move_to_end(runner.id)
-        if len(self._starts) > _STARTS_REMEMBERED:
+        if len(self._starts) > _MAX_STARTS:
             self._starts.popitem(last=False)
         return before is not None and before < runner.start
 
     def _drop(self, runner: ids.EndpointId) -> None:
         known = self._runners.pop(runner)
         self._services[known.service].pop(runner, None)
-        self._tell_gone(runner)
+        self._notify_gone(runner)
 
-    def _tell_gone(self, runner: ids.EndpointId) -> None:
+    def _notify_gone(self, runner: ids.EndpointId) -> None:
         for call in self._on_gone:
             call(runner)
--- a/pollenfork/fleet/tests/test_evidence.py
+++ b/pollenfork/fleet/tests/test_evidence.py
@@ -1,15 +1,15 @@
-"""A runner that is gone costs a few sends, however many instances there are."""
+"""A crashed runner costs a few sends, however many instances there are."""
 
 import random
 
 import pytest
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import messages
 from pollenfork.fleet import model
-from pollenfork.fleet import offers
 from pollenfork.fleet import registry
 from pollenfork.fleet.tests import test_registry
 from pollenfork.loads import members
@@ -20,16 +20,16 @@
 HERE = ids.DataCentre("a")
 SERVICE = ids.ServiceName("s")
 NOW = 100.0
-# How long a dead runner's entry lasts: three heartbeats of 1.2 s.
-LAPSE_S = 3.6
+# Expiry of a dead runner's entry: three heartbeats of 1.2 s.
+EXPIRY_S = 3.6
 PERIOD_S = 0.05
 RUNNERS = 20
-# Requests a second and runner at the load that the sends were counted at.
+# Requests per second and runner at the load for which sends are counted.
 RATE = 9.0
 
 
 class Bench:
-    """What one instance knows of three runners."""
+    """One instance's view of three runners."""
 
     def __init__(self) -> None:
         self.runners = registry.Registry()
@@ -37,20 +37,22 @@
             self.runners.put(test_registry.make_runner(f"r{number}"))
         self.chooser = choice.Chooser(self.runners, random.Random(1))
         self.evidence = evidence.Evidence(
-            self.runners, self.chooser.find_standing, HERE
+            self.runners, self.chooser.get_state, HERE
         )
 
     def hear(self, sign, name="r1", centre="a", witness=1, age_s=0.1) -> None:
         runner = self.runners.find(ids.EndpointId(name))
-        place = evidence.mark(runner)
-        finding = loads.Finding(place, sign, age_s, centre, witness)
-        self.evidence.take(finding, NOW)
+        runner_hash = evidence.hash_runner(runner)
+        finding = loads.Finding(runner_hash, sign, age_s, centre, witness)
+        self.evidence.receive(finding, NOW)
 
     def choose(self, now: float = NOW, count: int = 60) -> set[str]:
-        """Returns the runners that requests go to."""
+        """Returns the runners that requests are sent to."""
         chosen = set()
         for _ in range(count):
-            grant = self.chooser.choose(offers.Demand(SERVICE), set(), now)
+            grant = self.chooser.choose(
+                candidates.RequestProfile(SERVICE), set(), now
+            )
             chosen.add(grant.runner.id)
             self.chooser.settle(grant)
         return chosen
@@ -61,14 +63,14 @@
     return Bench()
 
 
-def test_proof_that_another_runner_lives_there_ends_it_for_good(bench) -> None:
+def test_a_displaced_runner_is_never_chosen_again(bench) -> None:
     bench.hear(Sign.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
 
 
-def test_an_own_finding_ends_it_here_too_and_is_told_once(bench) -> None:
+def test_an_own_finding_applies_locally_and_is_sent_once(bench) -> None:
     runner = bench.runners.find(ids.EndpointId("r1"))
-    bench.evidence.note(runner, Sign.DISPLACED)
+    bench.evidence.record(runner, Sign.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
     assert [each.sign for each in bench.evidence.take_found()] == [
         Sign.DISPLACED
@@ -76,25 +78,27 @@
     assert bench.evidence.take_found() == []
 
 
-def test_a_runner_that_has_moved_is_not_meant_by_what_was_found(bench) -> None:
+def test_a_finding_does_not_apply_to_a_runner_that_has_moved(bench) -> None:
     bench.hear(Sign.DISPLACED)
     bench.runners.put(test_registry.make_runner("r1", port=99))
     assert "r1" in bench.choose()
 
 
-def test_a_later_start_is_not_meant_by_what_was_found_before(bench) -> None:
+def test_a_finding_does_not_apply_to_a_later_incarnation(bench) -> None:
     bench.hear(Sign.DISPLACED)
     bench.runners.put(test_registry.make_runner("r1", start=9))
     assert "r1" in bench.choose()
 
 
-def test_a_refused_connection_lets_others_go_first_for_a_moment(bench) -> None:
+def test_a_runner_that_refuses_connections_is_avoided_for_a_moment(
+    bench,
+) -> None:
     bench.hear(Sign.REFUSED)
     assert bench.choose(NOW) == {"r0", "r2"}
     assert "r1" in bench.choose(NOW + 1.0)
 
 
-def test_a_fleet_that_all_looks_dead_is_still_tried(bench) -> None:
+def test_runners_are_still_tried_if_all_seem_dead(bench) -> None:
     for number in range(3):
         bench.hear(Sign.DISPLACED, f"r{number}")
         bench.hear(Sign.REFUSED, f"r{number}")
@@ -102,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "believed"),
+    ("reports", "believed"),
     [
         ([("a", 1)], False),
         ([("a", 1), ("a", 1)], False),
@@ -112,29 +116,29 @@
         ([("b", 1), ("a", 2)], True),
     ],
 )
-def test_silence_needs_two_witnesses_whose_ways_differ_or_are_ours(
-    bench, told, believed
+def test_a_timeout_needs_two_local_witnesses_or_two_data_centres(
+    bench, reports, believed
 ) -> None:
-    for centre, witness in told:
+    for centre, witness in reports:
         bench.hear(Sign.SILENT, centre=centre, witness=witness)
     assert (bench.choose(NOW) == {"r0", "r2"}) is believed
 
 
-def test_nothing_is_taken_of_a_runner_that_nobody_knows(bench) -> None:
+def test_a_finding_about_an_unknown_runner_is_ignored(bench) -> None:
     finding = loads.Finding(7, Sign.DISPLACED, 0.1, "a", 1)
-    bench.evidence.take(finding, NOW)
+    bench.evidence.receive(finding, NOW)
     assert bench.choose() == {"r0", "r1", "r2"}
 
 
-def test_findings_that_nobody_takes_do_not_pile_up(bench) -> None:
+def test_unsent_findings_are_bounded(bench) -> None:
     runner = bench.runners.find(ids.EndpointId("r1"))
     for _ in range(10_000):
-        bench.evidence.note(runner, Sign.REFUSED)
+        bench.evidence.record(runner, Sign.REFUSED)
     assert len(bench.evidence.take_found()) <= 200
 
 
-class _Teller:
-    """What the exchange asks of an instance; only findings matter here."""
+class _LocalInstance:
+    """The instance as the peer exchange sees it; only findings matter here."""
 
     def __init__(self, found: evidence.Evidence) -> None:
         self._evidence = found
@@ -146,7 +150,7 @@
         return self._evidence.take_found()
 
     def note_found(self, finding: loads.Finding, now: float) -> None:
-        self._evidence.take(finding, now)
+        self._evidence.receive(finding, now)
 
     def take_suspicions(self, now):
         return None
@@ -161,11 +165,11 @@
         pass
 
     def note_instances(self, count: int) -> None:
-        """Takes nothing."""
+        """Ignores the count."""
 
 
 class _Instance:
-    """One of many instances that share the requests to a fleet."""
+    """One of many instances that send requests to the same runners."""
 
     def __init__(self, number: int, everyone, runners) -> None:
         known = registry.Registry()
@@ -177,30 +181,30 @@
             roster.note(each, 1.0)
         self.evidence = evidence.Evidence(
             known,
-            self.chooser.find_standing,
+            self.chooser.get_state,
             ids.DataCentre(everyone[number].data_centre),
         )
         self.rumours = rumours.Rumours(
-            everyone[number], roster, _Teller(self.evidence)
+            everyone[number], roster, _LocalInstance(self.evidence)
         )
 
     def send(self, dead: model.Runner, now: float) -> bool:
         """Sends a request; returns whether it went to the dead runner."""
-        demand = offers.Demand(SERVICE)
-        grant = self.chooser.choose(demand, set(), now)
+        profile = candidates.RequestProfile(SERVICE)
+        grant = self.chooser.choose(profile, set(), now)
         wasted = grant.runner.id == dead.id
         end = messages.End.UNSENT if wasted else messages.End.WHOLE
-        grant.standing.note_end(end, False, now)
+        grant.state.record_end(end, False, now)
         if wasted:
-            # The caller's own next tries avoid it; another request would not.
-            grant.standing.unsent = 0
-            self.evidence.note(grant.runner, Sign.REFUSED)
+            # Only the same request's retries avoid it; other requests don't.
+            grant.state.unsent = 0
+            self.evidence.record(grant.runner, Sign.REFUSED)
         self.chooser.settle(grant)
         return wasted
 
 
-def count_wasted(count: int, centres: int, tells: bool = True) -> int:
-    """Returns the sends to a runner that crashed, until its entry lapses."""
+def count_wasted(count: int, centres: int, shares: bool = True) -> int:
+    """Returns the sends to a crashed runner until its entry expires."""
     rng = random.Random(3)
     everyone = [make_member(number, centres) for number in range(count)]
     runners = [
@@ -209,20 +213,20 @@
     instances = [_Instance(each, everyone, runners) for each in range(count)]
     hosts = {each.host: at for at, each in enumerate(everyone)}
     now, wasted, due = NOW, 0, 0.0
-    while now < NOW + LAPSE_S:
+    while now < NOW + EXPIRY_S:
         now += PERIOD_S
         due += RATE * RUNNERS * PERIOD_S
         while due >= 1.0:
             due -= 1.0
             wasted += rng.choice(instances).send(runners[0], now)
-        if not tells:
+        if not shares:
             continue
-        told = [
+        sent = [
             (host, message)
             for each in instances
             for host, message in each.rumours.tick(now)
         ]
-        for host, message in told:
+        for host, message in sent:
             instances[hosts[host]].rumours.hear(message, "", now)
     return wasted
 
@@ -239,5 +243,5 @@
     assert count_wasted(count, centres) < 15
 
 
-def test_without_telling_each_instance_finds_out_by_itself() -> None:
-    assert count_wasted(195, 5, tells=False) > 25
+def test_without_sharing_each_instance_discovers_the_crash_itself() -> None:
+    assert count_wasted(195, 5, shares=False) > 25
--- a/pollenfork/fleet/tests/test_limits.py
+++ b/pollenfork/fleet/tests/test_limits.py
@@ -1,3 +1,5 @@
+"""Runners at their rate limits are excluded from selection."""
+
 import random
 
 import pytest
@@ -9,7 +11,7 @@
 
 
 class Limits:
-    """Limits by the hash of a runner's start, and until when it is blocked."""
+    """Rate limits and blocked times by the hash of a runner's incarnation."""
 
     def __init__(self) -> None:
         self.rates: dict[int, float] = {}
@@ -33,47 +35,49 @@
     return choice.Chooser(fleet, random.Random(1), limits=limits)
 
 
-def find_mark(chooser: choice.Chooser, name: str) -> int:
-    return chooser.find_standing(ids.EndpointId(name)).mark
+def get_hash(chooser: choice.Chooser, name: str) -> int:
+    return chooser.get_state(ids.EndpointId(name)).incarnation_hash
 
 
-def test_a_runner_without_a_permit_left_is_left_out(chooser, limits) -> None:
-    limits.rates[find_mark(chooser, "r0")] = 1.0
-    limits.until[find_mark(chooser, "r0")] = 5.0
-    demand = test_choice.ask()
-    chosen = {chooser.choose(demand, set(), 1.0).runner.id for _ in range(30)}
+def test_a_runner_without_permits_is_excluded(chooser, limits) -> None:
+    limits.rates[get_hash(chooser, "r0")] = 1.0
+    limits.until[get_hash(chooser, "r0")] = 5.0
+    profile = test_choice.ask()
+    chosen = {chooser.choose(profile, set(), 1.0).runner.id for _ in range(30)}
     assert "r0" not in chosen
-    again = [chooser.choose(demand, {"r1", "r2"}, 5.0) for _ in range(3)]
+    again = [chooser.choose(profile, {"r1", "r2"}, 5.0) for _ in range(3)]
     assert {grant.runner.id for grant in again} == {"r0"}
 
 
-def test_where_all_are_blocked_the_soonest_and_the_sum_are_told(
+def test_if_all_are_blocked_the_shortest_wait_and_total_rate_are_returned(
     chooser, limits
 ) -> None:
     for number in range(3):
-        mark = find_mark(chooser, f"r{number}")
-        limits.rates[mark] = 2.0
-        limits.until[mark] = 3.0 + number
+        runner_hash = get_hash(chooser, f"r{number}")
+        limits.rates[runner_hash] = 2.0
+        limits.until[runner_hash] = 3.0 + number
     found = chooser.choose(test_choice.ask(), set(), 1.0)
     assert found == outcomes.Limited(2.0, 6.0)
 
 
-def test_a_prompt_is_placed_only_once_its_permit_is_there(
+def test_a_prompt_is_placed_only_once_its_permit_is_granted(
     chooser, limits
 ) -> None:
     for number in range(3):
-        limits.rates[find_mark(chooser, f"r{number}")] = 2.0
-    demand = test_choice.ask()
-    grant = chooser.choose(demand, set(), 1.0)
+        limits.rates[get_hash(chooser, f"r{number}")] = 2.0
+    profile = test_choice.ask()
+    grant = chooser.choose(profile, set(), 1.0)
     assert grant.limited
     assert chooser.take_placed() == []
-    chooser.confirm(grant, demand)
+    chooser.confirm(grant, profile)
     assert [each.runner for each in chooser.take_placed()] == [
-        grant.standing.mark
+        grant.state.incarnation_hash
     ]
 
 
-def test_a_limited_runners_free_slots_are_no_room(chooser, limits) -> None:
-    free = chooser.measure(test_choice.SERVICE).places
-    limits.rates[find_mark(chooser, "r0")] = 1.0
-    assert chooser.measure(test_choice.SERVICE).places == free - 4 + 1
+def test_free_slots_of_a_limited_runner_do_not_count_as_capacity(
+    chooser, limits
+) -> None:
+    free = chooser.measure(test_choice.SERVICE).slots
+    limits.rates[get_hash(chooser, "r0")] = 1.0
+    assert chooser.measure(test_choice.SERVICE).slots == free - 4 + 1
--- a/pollenfork/fleet/tests/test_registry.py
+++ b/pollenfork/fleet/tests/test_registry.py
@@ -1,3 +1,5 @@
+"""Registry entries of restarting, leaving and expiring runners."""
+
 import random
 
 from hypothesis import stateful
@@ -25,18 +27,20 @@
     )
 
 
-def list_takers(runners: registry.Registry, service: str = "s") -> list[str]:
-    return [each.id for each in runners.list_takers(ids.ServiceName(service))]
+def list_accepting(runners: registry.Registry, service: str = "s") -> list[str]:
+    return [
+        each.id for each in runners.list_accepting(ids.ServiceName(service))
+    ]
 
 
-def test_a_runner_that_leaves_takes_nothing_and_is_told_once() -> None:
+def test_a_leaving_runner_accepts_no_work_and_is_announced_once() -> None:
     runners, gone = registry.Registry(), []
     runners.when_gone(gone.append)
     runners.put(make_runner("r"))
-    assert list_takers(runners) == ["r"]
+    assert list_accepting(runners) == ["r"]
     runners.put(make_runner("r", leaving=True))
     runners.put(make_runner("r", leaving=True))
-    assert list_takers(runners) == []
+    assert list_accepting(runners) == []
     assert gone == ["r"]
 
 
@@ -44,130 +48,132 @@
     runners = registry.Registry()
     runners.put(make_runner("r"))
     runners.remove(ids.EndpointId("r"), now=10.0)
-    assert list_takers(runners) == []
+    assert list_accepting(runners) == []
     assert runners.size == 0
 
 
-def test_an_entry_that_lapsed_while_the_store_was_away_is_kept_a_while() -> (
+def test_an_entry_that_expired_while_the_store_was_down_is_kept_a_while() -> (
     None
 ):
     runners = registry.Registry()
     runners.put(make_runner("r"))
-    runners.keep_until(12.0)
+    runners.keep_removed_until(12.0)
     runners.remove(ids.EndpointId("r"), now=10.5)
-    assert list_takers(runners) == ["r"]
+    assert list_accepting(runners) == ["r"]
     runners.expire(now=11.9)
-    assert list_takers(runners) == ["r"]
+    assert list_accepting(runners) == ["r"]
     runners.expire(now=12.1)
-    assert list_takers(runners) == []
+    assert list_accepting(runners) == []
 
 
-def test_a_lapsed_entry_that_is_back_stays() -> None:
+def test_an_expired_entry_that_is_renewed_stays() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r"))
-    runners.keep_until(12.0)
+    runners.keep_removed_until(12.0)
     runners.remove(ids.EndpointId("r"), now=10.5)
     runners.put(make_runner("r"))
     runners.expire(now=20.0)
-    assert list_takers(runners) == ["r"]
+    assert list_accepting(runners) == ["r"]
 
 
-def test_a_runner_that_said_it_leaves_is_not_kept() -> None:
+def test_the_entry_of_a_leaving_runner_is_not_kept() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r", leaving=True))
-    runners.keep_until(12.0)
+    runners.keep_removed_until(12.0)
     runners.remove(ids.EndpointId("r"), now=10.5)
     assert runners.size == 0
 
 
-def test_a_new_incarnation_at_an_address_is_another_runner() -> None:
+def test_a_new_runner_at_the_same_address_is_independent() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r1", "s"))
     runners.put(make_runner("r2", "t"))
     runners.remove(ids.EndpointId("r1"), now=5.0)
-    assert list_takers(runners, "s") == []
-    assert list_takers(runners, "t") == ["r2"]
+    assert list_accepting(runners, "s") == []
+    assert list_accepting(runners, "t") == ["r2"]
 
 
-Arrival = registry.Arrival
+PutResult = registry.PutResult
 
 
-def test_a_later_start_under_its_id_is_another_incarnation() -> None:
+def test_a_later_start_under_the_same_id_is_a_restart() -> None:
     runners, gone, restarted = registry.Registry(), [], []
     runners.when_gone(gone.append)
     runners.when_restarted(restarted.append)
-    assert runners.put(make_runner("r", start=100)) is Arrival.TAKEN
-    assert runners.put(make_runner("r", start=100)) is Arrival.TAKEN
+    assert runners.put(make_runner("r", start=100)) is PutResult.TAKEN
+    assert runners.put(make_runner("r", start=100)) is PutResult.TAKEN
     assert gone == []
     again = make_runner("r", start=200)
-    assert runners.put(again) is Arrival.RESTARTED
+    assert runners.put(again) is PutResult.RESTARTED
     assert (gone, restarted) == (["r"], [again])
-    assert list_takers(runners) == ["r"]
+    assert list_accepting(runners) == ["r"]
 
 
 def test_an_earlier_start_never_replaces_a_later_one() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r", start=200))
     late = make_runner("r", start=100, leaving=True)
-    assert runners.put(late) is Arrival.OUTDATED
-    assert list_takers(runners) == ["r"]
+    assert runners.put(late) is PutResult.OUTDATED
+    assert list_accepting(runners) == ["r"]
     runners.remove(ids.EndpointId("r"), now=5.0)
-    assert runners.put(make_runner("r", start=100)) is Arrival.OUTDATED
-    assert list_takers(runners) == []
-    assert runners.put(make_runner("r", start=200)) is Arrival.TAKEN
+    assert runners.put(make_runner("r", start=100)) is PutResult.OUTDATED
+    assert list_accepting(runners) == []
+    assert runners.put(make_runner("r", start=200)) is PutResult.TAKEN
 
 
-def test_one_that_left_and_started_again_takes_work_at_once() -> None:
+def test_a_runner_that_left_and_restarted_accepts_work_at_once() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r", start=100, leaving=True))
-    assert runners.put(make_runner("r", start=200)) is Arrival.RESTARTED
-    assert list_takers(runners) == ["r"]
+    assert runners.put(make_runner("r", start=200)) is PutResult.RESTARTED
+    assert list_accepting(runners) == ["r"]
 
 
-def test_a_start_that_a_runner_tells_itself_counts_before_its_entry() -> None:
+def test_a_start_that_a_runner_reports_itself_precedes_its_entry() -> None:
     runners, gone = registry.Registry(), []
     runners.when_gone(gone.append)
     runner = ids.EndpointId("r")
     runners.put(make_runner("r", start=100))
-    assert runners.note_start(runner, 200) is Arrival.RESTARTED
+    assert runners.record_start(runner, 200) is PutResult.RESTARTED
     assert runners.find(runner).start == 200 and gone == ["r"]
-    # Its entry brings nothing new then, and the one before is outdated.
-    assert runners.put(make_runner("r", start=200)) is Arrival.TAKEN
-    assert runners.put(make_runner("r", start=100)) is Arrival.OUTDATED
-    assert runners.note_start(runner, 100) is Arrival.OUTDATED
+    # Its entry adds nothing new then, and the earlier one is outdated.
+    assert runners.put(make_runner("r", start=200)) is PutResult.TAKEN
+    assert runners.put(make_runner("r", start=100)) is PutResult.OUTDATED
+    assert runners.record_start(runner, 100) is PutResult.OUTDATED
     assert gone == ["r"]
 
 
-def test_counts_that_begin_anew_tell_a_start_that_nobody_names() -> None:
+def test_a_sequence_that_starts_over_reveals_an_unreported_restart() -> None:
     runners = registry.Registry()
     runners.put(make_runner("r", sequence=7))
-    assert runners.put(make_runner("r", sequence=9)) is Arrival.TAKEN
-    assert runners.put(make_runner("r", sequence=1)) is Arrival.RESTARTED
-    # One that names its start is told by that alone.
+    assert runners.put(make_runner("r", sequence=9)) is PutResult.TAKEN
+    assert runners.put(make_runner("r", sequence=1)) is PutResult.RESTARTED
+    # If the start is known, the sequence is ignored.
     runners.put(make_runner("q", sequence=7, start=100))
-    assert runners.put(make_runner("q", sequence=1, start=100)) is Arrival.TAKEN
+    assert (
+        runners.put(make_runner("q", sequence=1, start=100)) is PutResult.TAKEN
+    )
 
 
-def test_all_that_is_believed_of_a_runner_ends_with_its_incarnation() -> None:
+def test_the_state_of_a_runner_ends_with_its_incarnation() -> None:
     runners = registry.Registry()
     chooser = choice.Chooser(runners, random.Random(1))
     runners.put(make_runner("r", start=100))
-    before = chooser.find_standing(ids.EndpointId("r"))
-    before.failing, before.active = 0.9, 3
-    chooser.caches.note(before.mark, 7)
+    before = chooser.get_state(ids.EndpointId("r"))
+    before.failure_rate, before.active = 0.9, 3
+    chooser.caches.add(before.incarnation_hash, 7)
     runners.put(make_runner("r", start=200))
-    after = chooser.find_standing(ids.EndpointId("r"))
-    assert (after.failing, after.active) == (0.0, 0)
-    assert after.mark != before.mark
-    assert chooser.caches.list_kept() == []
+    after = chooser.get_state(ids.EndpointId("r"))
+    assert (after.failure_rate, after.active) == (0.0, 0)
+    assert after.incarnation_hash != before.incarnation_hash
+    assert chooser.caches.list_cached() == []
     assert chooser.list_loads() == {}
 
 
-class News(stateful.RuleBasedStateMachine):
-    """Starts and leavings; news of them by several ways, late and reordered.
+class Updates(stateful.RuleBasedStateMachine):
+    """Starts and departures, reported over several delayed channels.
 
-    Entries arrive in the order of their versions, as a table's follower sees
-    to; what a runner says of its own start arrives at any time.
+    Entries arrive in the order of their versions, as the table's follower
+    guarantees; a runner's own report of its start may arrive at any time.
     """
 
     def __init__(self) -> None:
@@ -176,7 +182,7 @@
         self.written: list[model.Runner | None] = []
         self.read = 0
         self.starts: list[int] = []
-        self.latest_told = 0
+        self.latest_seen = 0
         self.sequence = 0
 
     @stateful.initialize()
@@ -216,27 +222,27 @@
                 self.runners.remove(ids.EndpointId("r"), now=0.0)
             else:
                 self.runners.put(entry)
-                self.latest_told = max(self.latest_told, entry.start)
+                self.latest_seen = max(self.latest_seen, entry.start)
 
     @stateful.rule(back=strategies.integers(1, 4))
     def read_an_old_entry(self, back: int) -> None:
         entry = self.written[max(0, self.read - back)]
-        if entry is None or entry.start >= self.latest_told:
+        if entry is None or entry.start >= self.latest_seen:
             return
-        assert self.runners.put(entry) is Arrival.OUTDATED
+        assert self.runners.put(entry) is PutResult.OUTDATED
 
     @stateful.rule(back=strategies.integers(1, 3))
     def hear_a_start(self, back: int) -> None:
         start = self.starts[-min(back, len(self.starts))]
         known = self.runners.find(ids.EndpointId("r"))
-        self.runners.note_start(ids.EndpointId("r"), start)
+        self.runners.record_start(ids.EndpointId("r"), start)
         if known is not None:
-            self.latest_told = max(self.latest_told, start)
+            self.latest_seen = max(self.latest_seen, start)
 
     @stateful.invariant()
     def no_earlier_start_is_in_force(self) -> None:
         known = self.runners.find(ids.EndpointId("r"))
-        assert known is None or known.start == self.latest_told
+        assert known is None or known.start == self.latest_seen
 
     @stateful.rule()
     def settle(self) -> None:
@@ -248,17 +254,17 @@
             assert known == last or known.start > last.start
 
 
-TestNews = News.TestCase
+TestUpdates = Updates.TestCase
 
 
-def test_a_start_after_its_entry_was_gone_is_told_as_a_restart() -> None:
+def test_a_start_after_its_entry_was_removed_is_a_restart() -> None:
     runners, restarted = registry.Registry(), []
     runners.when_restarted(restarted.append)
     runners.put(make_runner("r", start=100))
     runners.remove(ids.EndpointId("r"), now=5.0)
     again = make_runner("r", start=200)
-    assert runners.put(again) is Arrival.RESTARTED
+    assert runners.put(again) is PutResult.RESTARTED
     assert restarted == [again]
-    # One whose entry merely came back has not started anew.
+    # A runner whose entry merely reappears has not restarted.
     runners.remove(ids.EndpointId("r"), now=6.0)
-    assert runners.put(again) is Arrival.TAKEN
+    assert runners.put(again) is PutResult.TAKEN
--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -2,7 +2,7 @@
 
 import result
 
-from pollenfork.fleet import offers
+from pollenfork.fleet import candidates
 from pollenfork.gateway import context
 from pollenfork.gateway import knowledge
 from pollenfork.gateway import messages
@@ -70,7 +70,7 @@
     quick = route.tier <= tiers[0] if len(tiers) > 1 else None
     known = found.configuration.services.get(service)
     tier = found.rank(route, account)
-    demand = offers.Demand(
+    demand = candidates.RequestProfile(
         service, head.parts, quick, known.copy_s if known else None, tier
     )
     return context.Admitted(
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -15,7 +15,7 @@
 from pollenfork import logs
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
-from pollenfork.fleet import repeats
+from pollenfork.fleet import retry_budget
 from pollenfork.gateway import cache_feed
 from pollenfork.gateway import callers
 from pollenfork.gateway import context
@@ -106,12 +106,12 @@
             self.known.runners, rng, self._read_others, granted
         )
         found = evidence.Evidence(
-            self.known.runners, chooser.find_standing, told.data_centre
+            self.known.runners, chooser.get_state, told.data_centre
         )
         suspected = quarantine.Quarantine(
             self.known.runners,
             told.front.host,
-            lambda runner, at: chooser.find_standing(runner).lives_since(at),
+            lambda runner, at: chooser.get_state(runner).is_alive_since(at),
             self._loop.time,
         )
         found.when_ended(suspected.note_absent)
@@ -133,7 +133,7 @@
             chooser=chooser,
             evidence=found,
             endings=endings.Endings(
-                connections, found, suspected, chooser.find_standing
+                connections, found, suspected, chooser.get_state
             ),
             suspected=suspected,
             limit_events=limit_events.LimitEvents(),
@@ -146,7 +146,7 @@
             claim_trial=self._keeper.claim_trial,
             pool=connections,
             prober=probing.Prober(connections, self.known.runners, rng),
-            repeats=repeats.RepeatBudget(
+            repeats=retry_budget.RetryBudget(
                 told.retry_ratio, told.retry_window_s, told.retry_extra
             ),
             turns=refusals.Turns(),
@@ -295,7 +295,7 @@
         while True:
             await asyncio.sleep(_TIDY_S)
             self._tools.chooser.sweep()
-            self._tools.permits.retain(self._tools.chooser.list_marks())
+            self._tools.permits.retain(self._tools.chooser.list_hashes())
 
     def _reload(self) -> None:
         """Takes over what has changed in the settings and may change."""
--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -45,7 +45,7 @@
 # One that has just started takes itself for a relay until it knows others.
 _SETTLED_S = 0.5
 
-News = result.Result[fleet_messages.CacheNews, failures.Failure]
+News = result.Result[fleet_messages.CacheReport, failures.Failure]
 
 
 class CacheFeed:
@@ -147,22 +147,22 @@
                     after = None
                     continue
                 epoch = news.epoch
-                changed = self._chooser.take_news(runner.id, news)
-                if news.whole:
+                changed = self._chooser.apply_cache_report(runner.id, news)
+                if news.complete:
                     _LOG.info(
                         "event=cache_known runner=%s parts=%d changed=%d",
                         runner.id,
                         len(news.changes),
                         changed,
                     )
-                after = news.through
+                after = news.last_sequence
                 pause_s = _FIRST_PAUSE_S
                 await asyncio.sleep(self._rest_s * self._rng.uniform(0.8, 1.2))
         finally:
             calls.close()
 
     def _is_of(
-        self, runner: fleet.Runner, news: fleet_messages.CacheNews
+        self, runner: fleet.Runner, news: fleet_messages.CacheReport
     ) -> bool:
         """Returns whether news are of the start that is followed.
 
@@ -170,8 +170,8 @@
         """
         if news.start is None or news.start == runner.start:
             return True
-        arrival = self._known.runners.note_start(runner.id, news.start)
-        if arrival is registry.Arrival.RESTARTED:
+        arrival = self._known.runners.record_start(runner.id, news.start)
+        if arrival is registry.PutResult.RESTARTED:
             _LOG.info(
                 "event=runner_restarted runner=%s start=%d before=%s",
                 runner.id,
@@ -212,7 +212,7 @@
     """A runner didn't answer a call."""
 
 
-def _fold(news: fleet_messages.CacheNews) -> fleet_messages.CacheNews:
+def _fold(news: fleet_messages.CacheReport) -> fleet_messages.CacheReport:
     """Returns what is kept after all changes since the runner's start."""
     kept: dict[bytes, None] = {}
     for change in news.changes:
@@ -221,4 +221,4 @@
         else:
             kept.pop(change.part, None)
     changes = tuple(fleet_messages.CacheChange(part, True) for part in kept)
-    return msgspec.structs.replace(news, changes=changes, whole=True)
+    return msgspec.structs.replace(news, changes=changes, complete=True)
--- a/pollenfork/gateway/context.py
+++ b/pollenfork/gateway/context.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
-from pollenfork.fleet import offers
-from pollenfork.fleet import repeats
+from pollenfork.fleet import retry_budget
 from pollenfork.gateway import counters
 from pollenfork.gateway import edges
 from pollenfork.gateway import endings
@@ -45,7 +45,7 @@
     call: messages.Call
     head: messages.CallHead
     route: routes.Route
-    demand: offers.Demand
+    demand: candidates.RequestProfile
     longest_s: float | None
     account: routes.Account | None
     tier: ids.Tier
@@ -71,7 +71,7 @@
     chooser: choice.Chooser
     evidence: evidence.Evidence
     pool: pool.Pool
-    repeats: repeats.RepeatBudget
+    repeats: retry_budget.RetryBudget
     prober: probing.Prober
     endings: endings.Endings
     suspected: quarantine.Quarantine
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -56,12 +56,12 @@
 
     def read_feed(
         self, status: int, body: bytes
-    ) -> result.Result[fleet_messages.CacheNews, failures.Failure]:
+    ) -> result.Result[fleet_messages.CacheReport, failures.Failure]:
         """Decodes the answer to the first."""
 
     def read_list(
         self, status: int, body: bytes
-    ) -> result.Result[fleet_messages.CacheNews, failures.Failure]:
+    ) -> result.Result[fleet_messages.CacheReport, failures.Failure]:
         """Decodes the answer to the second."""
 
 
--- a/pollenfork/gateway/endings.py
+++ b/pollenfork/gateway/endings.py
@@ -15,7 +15,7 @@
 from pollenfork import ids
 from pollenfork.fleet import evidence
 from pollenfork.fleet import model as fleet
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 from pollenfork.gateway import pool
 from pollenfork.loads import messages as loads
 from pollenfork.poison import quarantine
@@ -49,7 +49,7 @@
         connections: pool.Pool,
         found: evidence.Evidence,
         suspected: quarantine.Quarantine,
-        find_standing: Callable[[ids.EndpointId], standing.Standing],
+        find_standing: Callable[[ids.EndpointId], runner_state.RunnerState],
     ) -> None:
         """Takes what it needs.
 
@@ -69,7 +69,7 @@
 
     def try_runner(self, runner: fleet.Runner) -> Try:
         """Begins to find out, unless that is under way."""
-        place = evidence.mark(runner)
+        place = evidence.hash_runner(runner)
         known = self._tries.get(place)
         if known is not None:
             return known
@@ -105,7 +105,7 @@
             opened = await self._pool.open(runner, pool.CONNECT_S)
             if isinstance(opened, result.Err):
                 if opened.err_value.nobody:
-                    self._evidence.note(runner, loads.Sign.REFUSED)
+                    self._evidence.record(runner, loads.Sign.REFUSED)
                 return
             reached_at = asyncio.get_running_loop().time()
             begun.met.set_result(None)
@@ -118,7 +118,7 @@
                 ended_by = asyncio.get_running_loop().time()
                 self._suspected.note_dropped(runner, ended_by)
         finally:
-            del self._tries[evidence.mark(runner)]
+            del self._tries[evidence.hash_runner(runner)]
             for known in (begun.met, begun.concluded):
                 if not known.done():
                     known.set_result(None)
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -93,7 +93,7 @@
 
     async def _serve(self) -> None:
         tools = self._tools
-        tools.repeats.note_request(
+        tools.repeats.record_request(
             self._admitted.demand.service, tools.loop.time()
         )
         while True:
@@ -134,7 +134,7 @@
     def _refuse(
         self,
         found: outcomes.Overloaded
-        | outcomes.OutOfReach
+        | outcomes.Unreachable
         | outcomes.Limited
         | None,
     ) -> None:
@@ -150,7 +150,7 @@
                 )
                 wait_s = min(wait_s, _LONGEST_LIMITED_S)
                 self._give_up(_Reason.RUNNERS_LIMITED, wait_s)
-            case outcomes.OutOfReach():
+            case outcomes.Unreachable():
                 self._give_up(_Reason.UNREACHABLE)
             case None:
                 self._give_up(_Reason.NO_RUNNER)
@@ -247,7 +247,7 @@
 
     def _note_first(self, grant: outcomes.Grant) -> None:
         """Notes that a runner has begun to answer."""
-        grant.note_first()
+        grant.record_prefill_done()
         account = self._admitted.account
         if account is not None and not self._has_run:
             self._tools.note_begun(account.id)
@@ -277,19 +277,19 @@
         self, grant: outcomes.Grant, ended: attempt.Ended
     ) -> None:
         """Updates what is believed of the runner."""
-        seen = grant.standing
+        seen = grant.state
         failures = seen.failures
         now = self._tools.loop.time()
-        seen.note_end(ended.end, repetition.is_error(ended), now)
+        seen.record_end(ended.end, repetition.is_error(ended), now)
         self._record.note_standing(grant, ended, failures)
         if ended.sign is not None:
-            self._tools.evidence.note(grant.runner, ended.sign)
+            self._tools.evidence.record(grant.runner, ended.sign)
         if not seen.reachable:
             self._tools.prober.watch(grant.runner, seen)
 
     def _take_repeat(self) -> bool:
         now = self._tools.loop.time()
-        return self._tools.repeats.take(self._admitted.demand.service, now)
+        return self._tools.repeats.try_take(self._admitted.demand.service, now)
 
     def _finish(self, ended: attempt.Ended) -> None:
         if ended.end is _End.WHOLE:
--- a/pollenfork/gateway/knowledge.py
+++ b/pollenfork/gateway/knowledge.py
@@ -74,7 +74,7 @@
         until = self._outages.note_answer(moment)
         if until is None:
             return
-        self.runners.keep_until(until)
+        self.runners.keep_removed_until(until)
         _LOG.info("event=outage_over kept_for_ms=%d", (until - moment) * 1000)
 
     def write_proof(self, now: float) -> messages.Proof | None:
@@ -177,7 +177,7 @@
                 self._refuse_entry(row, read.err_value)
                 continue
             arrival = self.runners.put(read.ok_value)
-            if arrival is registry.Arrival.OUTDATED:
+            if arrival is registry.PutResult.OUTDATED:
                 _LOG.info(
                     "event=runner_outdated runner=%s row=%d start=%s",
                     row.key,
@@ -192,7 +192,7 @@
                 read.ok_value.service,
                 read.ok_value.leaving,
                 row.version,
-                arrival is registry.Arrival.RESTARTED,
+                arrival is registry.PutResult.RESTARTED,
                 changes.way.value,
             )
 
@@ -206,8 +206,8 @@
     ) -> None:
         runner = ids.EndpointId(row.key)
         removal = self.runners.remove(runner, now)
-        if removal is registry.Removal.KEPT:
-            until = self.runners.read_kept_until(runner) or now
+        if removal is registry.RemoveResult.KEPT:
+            until = self.runners.get_kept_until(runner) or now
             _LOG.info(
                 "event=runner_kept runner=%s row=%d for_ms=%d way=%s",
                 logs.write_value(row.key),
--- a/pollenfork/gateway/ordering.py
+++ b/pollenfork/gateway/ordering.py
@@ -7,8 +7,8 @@
 from pollenfork.duties import messages
 from pollenfork.duties import office
 from pollenfork.duties import rows
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
-from pollenfork.fleet import offers
 from pollenfork.gateway import knowledge
 from pollenfork.routes import model as routes
 from pollenfork.scaling import demand
@@ -129,7 +129,7 @@
         self, service: ids.ServiceName
     ) -> dict[ids.DataCentre, model.Zone]:
         counted: dict[ids.DataCentre, list[int]] = {}
-        for runner in self._known.runners.list_takers(service):
+        for runner in self._known.runners.list_accepting(service):
             counts = counted.setdefault(runner.data_centre, [0, 0])
             counts[runner.reclaimable] += 1
         return {each: model.Zone(*both) for each, both in counted.items()}
@@ -138,8 +138,10 @@
         use = self._chooser.measure(service)
         if not use.runners:
             return model.Use()
-        backlog_s = use.reading / offers.READ_RATE / use.runners
-        return model.Use(backlog_s, use.active / use.places)
+        backlog_s = (
+            use.pending_tokens / candidates.PREFILL_TOKENS_PER_S / use.runners
+        )
+        return model.Use(backlog_s, use.active / use.slots)
 
     def _list_ordered(self, service: ids.ServiceName) -> dict[model.Kind, int]:
         return {
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -49,15 +49,15 @@
 
     def note_placed(self, placed: Iterable[messages.Placed]) -> None:
         """Takes what others have placed."""
-        self._chooser.caches.take(placed)
+        self._chooser.caches.apply(placed)
 
     def list_placed(self) -> list[messages.Placed]:
         """Returns all that runners are believed to keep."""
-        return self._chooser.caches.list_kept()
+        return self._chooser.caches.list_cached()
 
     def list_placed_here(self) -> list[messages.Placed]:
         """Returns what runners of this data centre are believed to keep."""
-        return self._chooser.list_kept_in(self._data_centre)
+        return self._chooser.list_cached_in(self._data_centre)
 
     def read_proof(self, now: float) -> messages.Proof | None:
         """Returns what it knows of the store, and how old that may be."""
@@ -83,7 +83,7 @@
 
     def note_found(self, finding: messages.Finding, now: float) -> None:
         """Takes what another one has found out of a runner."""
-        self._evidence.take(finding, now)
+        self._evidence.receive(finding, now)
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
         """Returns news of requests that runners ended under, if any."""
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -113,7 +113,9 @@
     def on_sent(self, grant: outcomes.Grant) -> None:
         """Takes that a request is sent to a runner without a limit."""
         if self._joined:
-            self._limiter.on_sent(grant.standing.mark, self._loop.time())
+            self._limiter.on_sent(
+                grant.state.incarnation_hash, self._loop.time()
+            )
 
     def is_informed(self) -> bool:
         """Returns whether it is known which limits others know of."""
@@ -128,7 +130,7 @@
             tier: The request's urgency.
         """
         asked = self._limiter.ask(
-            grant.standing.mark,
+            grant.state.incarnation_hash,
             grant.runner.data_centre,
             tier,
             self._loop.time(),
@@ -151,7 +153,9 @@
             asked_at: Monotonic seconds at which its request was sent.
         """
         now = self._loop.time()
-        self._limiter.on_answer(grant.standing.mark, read, asked_at, now)
+        self._limiter.on_answer(
+            grant.state.incarnation_hash, read, asked_at, now
+        )
 
     def find_return(
         self,
--- a/pollenfork/gateway/probing.py
+++ b/pollenfork/gateway/probing.py
@@ -13,7 +13,7 @@
 
 from pollenfork.fleet import model as fleet
 from pollenfork.fleet import registry
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 from pollenfork.gateway import endings
 from pollenfork.gateway import pool
 
@@ -49,7 +49,9 @@
         self._rng = rng
         self._tasks: dict[fleet.Incarnation, asyncio.Task[None]] = {}
 
-    def watch(self, runner: fleet.Runner, seen: standing.Standing) -> None:
+    def watch(
+        self, runner: fleet.Runner, seen: runner_state.RunnerState
+    ) -> None:
         """Tries a runner until it is reached or gone."""
         tried = runner.incarnation
         if tried in self._tasks:
@@ -65,7 +67,9 @@
         for task in list(self._tasks.values()):
             task.cancel()
 
-    async def _try(self, runner: fleet.Runner, seen: standing.Standing) -> None:
+    async def _try(
+        self, runner: fleet.Runner, seen: runner_state.RunnerState
+    ) -> None:
         pause_s = _FIRST_S
         tries = 0
         while not seen.reachable and self._is_known(runner):
@@ -78,7 +82,7 @@
             await asyncio.sleep(endings.DROPPED_S)
             if opened.ok_value.usable:
                 self._pool.give_back(runner, opened.ok_value)
-                seen.note_reached()
+                seen.record_connected()
         _LOG.info(
             "event=runner_tried runner=%s reachable=%s tries=%d",
             runner.id,
--- a/pollenfork/gateway/record.py
+++ b/pollenfork/gateway/record.py
@@ -66,12 +66,12 @@
             grant.runner.id,
             self.took_s * 1000,
             grant.cost * 1000,
-            grant.unread,
+            grant.uncached_tokens,
             grant.source.id if grant.source else "-",
             grant.holders,
-            grant.kept_cost * 1000,
-            grant.crowd_s * 1000,
-            grant.reading - grant.unread,
+            grant.holder_cost * 1000,
+            grant.mean_backlog_s * 1000,
+            grant.pending_tokens - grant.uncached_tokens,
             len(admitted.head.parts),
             "-" if loads_age_s is None else int(loads_age_s * 1000),
             self._left_s * 1000,
@@ -117,7 +117,7 @@
             ended: How an attempt at it ended.
             failures: Its failures in a row before.
         """
-        seen = grant.standing
+        seen = grant.state
         if seen.failures > failures:
             _LOG.warning(
                 "event=runner_shunned runner=%s request=%s end=%s failures=%d "
@@ -126,7 +126,7 @@
                 self._request,
                 ended.end.value,
                 seen.failures,
-                (seen.shunned_until - self._loop.time()) * 1000,
+                (seen.avoid_until - self._loop.time()) * 1000,
             )
         elif seen.failures < failures:
             _LOG.info(
--- a/pollenfork/gateway/refusals.py
+++ b/pollenfork/gateway/refusals.py
@@ -12,7 +12,7 @@
 """
 
 from pollenfork import ids
-from pollenfork.fleet import offers
+from pollenfork.fleet import candidates
 from pollenfork.routes import model as routes
 
 # A request of the least urgent tier, or another one below the most urgent, is
@@ -30,7 +30,7 @@
 def find_longest(
     route: routes.Route,
     tiers: tuple[ids.Tier, ...],
-    demand: offers.Demand,
+    demand: candidates.RequestProfile,
     favoured: bool = False,
 ) -> float | None:
     """Returns the seconds in which a request's prompt must be read.
--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -5,12 +5,12 @@
 import random
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import model as fleet
-from pollenfork.fleet import offers
 from pollenfork.fleet import registry
-from pollenfork.fleet import repeats
+from pollenfork.fleet import retry_budget
 from pollenfork.gateway import callers
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
@@ -185,7 +185,7 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(1)
         self.route = route
-        self.demand = offers.Demand(SERVICE)
+        self.demand = candidates.RequestProfile(SERVICE)
         self.begun: list[ids.AccountId] = []
         self.longest_s: float | None = None
         self.runners = registry.Registry()
@@ -194,12 +194,12 @@
         granted = permits.Permits(loop, "127.0.0.1", "a")
         chooser = choice.Chooser(self.runners, rng, limits=granted)
         found = evidence.Evidence(
-            self.runners, chooser.find_standing, ids.DataCentre("a")
+            self.runners, chooser.get_state, ids.DataCentre("a")
         )
         suspected = quarantine.Quarantine(
             self.runners,
             "127.0.0.1",
-            lambda runner, at: chooser.find_standing(runner).lives_since(at),
+            lambda runner, at: chooser.get_state(runner).is_alive_since(at),
             loop.time,
         )
         found.when_ended(suspected.note_absent)
@@ -210,7 +210,7 @@
             chooser=chooser,
             evidence=found,
             endings=endings.Endings(
-                connections, found, suspected, chooser.find_standing
+                connections, found, suspected, chooser.get_state
             ),
             suspected=suspected,
             limit_events=limit_events.LimitEvents(),
@@ -219,7 +219,7 @@
             claim_trial=self._claim_trial,
             pool=connections,
             prober=probing.Prober(connections, self.runners, rng),
-            repeats=repeats.RepeatBudget(0.2, 10.0),
+            repeats=retry_budget.RetryBudget(0.2, 10.0),
             turns=refusals.Turns(),
             counters=counters.Counters(),
             read_loads_age=lambda: None,
@@ -296,8 +296,8 @@
     for number, runner in enumerate(runners):
         entry = await runner.start()
         gateway.runners.put(entry)
-        seen = gateway.tools.chooser.find_standing(entry.id)
-        seen.failing = number * 0.2
+        seen = gateway.tools.chooser.get_state(entry.id)
+        seen.failure_rate = number * 0.2
     try:
         yield gateway
     finally:
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -39,7 +39,7 @@
             if word[:1] in b"+-"
         )
         said = dict(word.split(b"=") for word in words if b"=" in word)
-        news = fleet_messages.CacheNews(
+        news = fleet_messages.CacheReport(
             changes,
             len(changes),
             gap=b"gap" in words,
@@ -50,8 +50,8 @@
 
     def read_list(self, status, body):
         return self.read_feed(status, body).map(
-            lambda news: fleet_messages.CacheNews(
-                news.changes, news.through, whole=True, epoch=news.epoch
+            lambda news: fleet_messages.CacheReport(
+                news.changes, news.last_sequence, complete=True, epoch=news.epoch
             )
         )
 
@@ -119,7 +119,7 @@
 
 
 def list_kept(chooser: choice.Chooser) -> set[int]:
-    return {placed.part for placed in chooser.caches.list_kept()}
+    return {placed.part for placed in chooser.caches.list_cached()}
 
 
 def mark(*parts: bytes) -> set[int]:
--- a/pollenfork/gateway/tests/test_exchange.py
+++ b/pollenfork/gateway/tests/test_exchange.py
@@ -189,9 +189,9 @@
         route = support.make_route(ONCE)
         async with support.run_gateway(route, gone, there) as gateway:
             gone.stop()
-            seen = gateway.tools.chooser.find_standing(ids.EndpointId("r0"))
+            seen = gateway.tools.chooser.get_state(ids.EndpointId("r0"))
             for _ in range(2):
-                seen.note_end(messages_of_fleet.End.UNSENT, False, 0.0)
+                seen.record_end(messages_of_fleet.End.UNSENT, False, 0.0)
             made = gateway.tools.pool.counters.unreachable
             answer = await support.ask(gateway)
             return answer, gateway.tools.pool.counters.unreachable - made
--- a/pollenfork/gateway/tests/test_knowledge.py
+++ b/pollenfork/gateway/tests/test_knowledge.py
@@ -49,7 +49,7 @@
 
 def list_runners(known) -> list[str]:
     service = ids.ServiceName("s")
-    return [each.id for each in known.runners.list_takers(service)]
+    return [each.id for each in known.runners.list_accepting(service)]
 
 
 def test_it_is_ready_once_both_tables_are_read_and_proven(caplog) -> None:
@@ -101,7 +101,7 @@
     good = tuple(catalogue.Row(key, b"", 12) for key in "qrs")
     known.take_runners(catalogue.Changes(good, 12), 0.0)
     # Also where entries that vanish are kept for a moment.
-    known.runners.keep_until(5.0)
+    known.runners.keep_removed_until(5.0)
     bad = (catalogue.Row("r", b"bad", 13), catalogue.Row("new\n", b"bad", 14))
     fresh = catalogue.Row("t", b"", 15)
     known.take_runners(catalogue.Changes((*bad, fresh), 15), 1.0)
@@ -231,7 +231,7 @@
     known = make_known()
     rows = (catalogue.Row("r", b"", 12),)
     known.take_runners(catalogue.Changes(rows, 12), 98.0)
-    known.runners.keep_until(102.0)
+    known.runners.keep_removed_until(102.0)
     rows = (catalogue.Row("r", b"", 13, removed=True),)
     known.take_runners(catalogue.Changes(rows, 13), 100.5)
     assert "event=runner_kept runner=r row=13 for_ms=1500" in caplog.text
--- a/pollenfork/gateway/tests/test_overload.py
+++ b/pollenfork/gateway/tests/test_overload.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import model as fleet
-from pollenfork.fleet import offers
 from pollenfork.gateway import refusals
 from pollenfork.gateway.tests import support
 from pollenfork.loads import messages
@@ -42,7 +42,7 @@
                     gateway.runners, random.Random(1), read_others
                 ),
             )
-            gateway.demand = offers.Demand(
+            gateway.demand = candidates.RequestProfile(
                 support.SERVICE, (fleet.Part(b"a", 9), fleet.Part(b"b", 566))
             )
             gateway.longest_s = longest_s
@@ -87,7 +87,7 @@
                     gateway.runners, random.Random(1), read_others
                 ),
             )
-            gateway.demand = offers.Demand(
+            gateway.demand = candidates.RequestProfile(
                 support.SERVICE, (fleet.Part(b"a", 9), fleet.Part(b"b", 566))
             )
             gateway.longest_s = 0.5
--- a/pollenfork/gateway/tests/test_refusals.py
+++ b/pollenfork/gateway/tests/test_refusals.py
@@ -2,14 +2,14 @@
 import pytest
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import model as fleet
-from pollenfork.fleet import offers
 from pollenfork.gateway import refusals
 from pollenfork.gateway.tests import support
 from pollenfork.routes import model as routes
 
 TIERS = (ids.Tier(0), ids.Tier(1), ids.Tier(2))
-LONG = offers.Demand(
+LONG = candidates.RequestProfile(
     support.SERVICE, (fleet.Part(b"a", 100), fleet.Part(b"b", 5660))
 )
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize(
     ("demand", "tiers"),
-    [(LONG, TIERS[2:]), (offers.Demand(support.SERVICE), TIERS)],
+    [(LONG, TIERS[2:]), (candidates.RequestProfile(support.SERVICE), TIERS)],
 )
 def test_without_others_or_a_prompt_nothing_is_refused(demand, tiers) -> None:
     assert find_longest(2, demand, tiers) is None
--- a/pollenfork/loads/lines.py
+++ b/pollenfork/loads/lines.py
@@ -70,8 +70,8 @@
             if known is not None:
                 load = messages.Load(
                     known.active + load.active,
-                    known.reading + load.reading,
-                    known.quick + load.quick,
+                    known.pending_tokens + load.pending_tokens,
+                    known.top_tier + load.top_tier,
                 )
             total[runner] = load
     return total
@@ -87,8 +87,8 @@
             continue
         rest[runner] = messages.Load(
             known.active - load.active,
-            known.reading - load.reading,
-            known.quick - load.quick,
+            known.pending_tokens - load.pending_tokens,
+            known.top_tier - load.top_tier,
         )
     return rest
 
--- a/pollenfork/loads/messages.py
+++ b/pollenfork/loads/messages.py
@@ -22,13 +22,13 @@
 
     Attributes:
         active: Requests sent to it and not ended.
-        reading: Their prompt tokens that it has yet to read.
-        quick: Those of them that are of their service's most urgent tier.
+        pending_tokens: Their prompt tokens that it has yet to process.
+        top_tier: Those of them that are of their service's most urgent tier.
     """
 
     active: int = 0
-    reading: int = 0
-    quick: int = 0
+    pending_tokens: int = 0
+    top_tier: int = 0
 
 
 # Runners by a hash of their id: the ids are three times as long as the rest.
--- a/pollenfork/platform/caches.py
+++ b/pollenfork/platform/caches.py
@@ -57,28 +57,28 @@
 
 def read_feed(
     status: int, body: bytes
-) -> result.Result[messages.CacheNews, BadCacheNews]:
+) -> result.Result[messages.CacheReport, BadCacheNews]:
     """Decodes the answer to the first."""
     return _decode(status, body).map(lambda told: _make_news(told, whole=False))
 
 
 def read_list(
     status: int, body: bytes
-) -> result.Result[messages.CacheNews, BadCacheNews]:
+) -> result.Result[messages.CacheReport, BadCacheNews]:
     """Decodes the answer to the second."""
     return _decode(status, body).map(lambda told: _make_news(told, whole=True))
 
 
-def _make_news(told: _News, whole: bool) -> messages.CacheNews:
+def _make_news(told: _News, whole: bool) -> messages.CacheReport:
     changed = [(each.part, each.sign == _KEPT) for each in told.events]
     held = [(each.part, True) for each in told.held]
-    return messages.CacheNews(
+    return messages.CacheReport(
         tuple(
             messages.CacheChange(part.encode(), kept)
             for part, kept in (held if whole else changed)
         ),
         told.next,
-        whole=whole,
+        complete=whole,
         gap=told.lost,
         epoch=str(told.epoch),
         start=entries.read_start(told.born),
--- a/pollenfork/platform/tests/simulation/site.py
+++ b/pollenfork/platform/tests/simulation/site.py
@@ -108,14 +108,14 @@
         assert self.known is not None
         kept = self.known.runners
         return {
-            name for name in self.list_takers() if kept.read_kept_until(name)
+            name for name in self.list_takers() if kept.get_kept_until(name)
         }
 
     def list_takers(self) -> set[str]:
         """Returns the runners that it would give work."""
         if self.known is None:
             return set()
-        found = self.known.runners.list_takers(SERVICE)
+        found = self.known.runners.list_accepting(SERVICE)
         return {runner.id for runner in found}
 
     def _begin(self, ways: network.Network) -> None:
@@ -144,12 +144,12 @@
         )
         chooser = choice.Chooser(self.known.runners, self._rng)
         found = evidence.Evidence(
-            self.known.runners, chooser.find_standing, self.data_centre
+            self.known.runners, chooser.get_state, self.data_centre
         )
         self.suspected = quarantine.Quarantine(
             self.known.runners,
             self.host,
-            lambda runner, at: chooser.find_standing(runner).lives_since(at),
+            lambda runner, at: chooser.get_state(runner).is_alive_since(at),
             loop.time,
         )
         here = peers.Here(
--- a/pollenfork/platform/tests/test_caches.py
+++ b/pollenfork/platform/tests/test_caches.py
@@ -35,15 +35,15 @@
         b'[[11,"+","","e129f473a0f0",242,"m"],[12,"-","","e129f473a0f0",0,"m"]]}'
     )
     lost = messages.CacheChange(b"e129f473a0f0", False)
-    assert caches.read_feed(200, body).ok_value == messages.CacheNews(
+    assert caches.read_feed(200, body).ok_value == messages.CacheReport(
         (KEPT, lost), 12, gap=True, epoch="7"
     )
 
 
 def test_a_list_is_whole() -> None:
     body = b'{"epoch":7,"next":44,"held":[["","e129f473a0f0",242,"m"]]}'
-    assert caches.read_list(200, body).ok_value == messages.CacheNews(
-        (KEPT,), 44, whole=True, epoch="7"
+    assert caches.read_list(200, body).ok_value == messages.CacheReport(
+        (KEPT,), 44, complete=True, epoch="7"
     )
 
 
--- a/pollenfork/platform/tests/test_slow_links.py
+++ b/pollenfork/platform/tests/test_slow_links.py
@@ -4,7 +4,7 @@
 import random
 
 from pollenfork.fleet import registry
-from pollenfork.fleet import standing
+from pollenfork.fleet import runner_state
 from pollenfork.gateway import pool
 from pollenfork.gateway import probing
 from pollenfork.platform.tests.simulation import clock
@@ -35,7 +35,7 @@
     runners = registry.Registry()
     runners.put(runner)
     connections = pool.Pool(ways.loop)
-    seen = standing.Standing(1, unsent=2)
+    seen = runner_state.RunnerState(1, unsent=2)
     assert (await connections.open(runner, 5.0)).is_err()
     prober = probing.Prober(connections, runners, random.Random(1))
     prober.watch(runner, seen)
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -129,7 +129,7 @@
 
     def note_dropped(self, runner: model.Runner, now: float) -> None:
         """Takes that a new connection to a runner was dropped at once."""
-        self._witness.note_ended(evidence.mark(runner), now, "dropped")
+        self._witness.note_ended(evidence.hash_runner(runner), now, "dropped")
 
     def list_kept(self) -> list[cases.Case]:
         """Returns the requests that are kept back."""
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -6,10 +6,10 @@
 import random
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import model
-from pollenfork.fleet import offers
 from pollenfork.fleet import outcomes
 from pollenfork.fleet import registry
 from pollenfork.loads import core
@@ -43,7 +43,7 @@
         self.suspected = quarantine.Quarantine(
             self.runners,
             self.host,
-            lambda runner, at: self.chooser.find_standing(runner).lives_since(
+            lambda runner, at: self.chooser.get_state(runner).is_alive_since(
                 at
             ),
             lambda: fleet.now,
@@ -206,10 +206,10 @@
 
         def tell() -> None:
             if runner.id in self.down:
-                place = evidence.mark(runner)
+                place = evidence.hash_runner(runner)
                 instance.suspected.note_absent(place, here=True)
             else:
-                seen = instance.chooser.find_standing(runner.id)
+                seen = instance.chooser.get_state(runner.id)
                 seen.reached_at = begun_at
 
         self.call_in(self.connect_s, tell)
@@ -235,7 +235,7 @@
             return
         suspect = ids.RequestDigest(digest)
         grant = instance.chooser.choose(
-            offers.Demand(SERVICE),
+            candidates.RequestProfile(SERVICE),
             set(),
             self.now,
             None,
@@ -285,7 +285,7 @@
         self._ended_last[name] = self.now
         running = self._running.pop(name, [])
         self.ended_at.append((self.now, [each[1] for each in running]))
-        place = evidence.mark(self.runners[name])
+        place = evidence.hash_runner(self.runners[name])
         for instance, digest, grant, sent_at in running:
             self._break(instance, digest, grant, sent_at)
             self.call_in(
@@ -340,8 +340,8 @@
             return
         if name in self.down:
             instance.chooser.settle(grant)
-            grant.standing.shunned_until = self.now + 0.8
-            place = evidence.mark(grant.runner)
+            grant.state.avoid_until = self.now + 0.8
+            place = evidence.hash_runner(grant.runner)
             instance.suspected.note_absent(place, here=True)
             return
         self.sent.setdefault(digest, []).append(self.now)
@@ -360,7 +360,7 @@
         instance.chooser.settle(grant)
         if instance.alive:
             instance.kept_connections[name] = self.now
-            grant.standing.answered_at = self.now
+            grant.state.answered_at = self.now
             self.answered[digest] = self.answered.get(digest, 0) + 1
             self.answered_at.setdefault(digest, []).append(self.now)
             instance.suspected.note_answered(
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -162,7 +162,7 @@
     others = list(range(1000, 1400))
     for number in range(3):
         for name in fleet.runners:
-            place = fleets.evidence.mark(fleet.runners[name])
+            place = fleets.evidence.hash_runner(fleet.runners[name])
             ends = tuple(
                 messages.RunnerEnd(digest, place, 300 - 90 * number, 250, 1)
                 for digest in (OTHER, *others)
@@ -185,7 +185,7 @@
     fleet.run(2.0)
     for each in fleet.instances:
         for number in range(20):
-            place = fleets.evidence.mark(fleet.runners[f"r{number % 9}"])
+            place = fleets.evidence.hash_runner(fleet.runners[f"r{number % 9}"])
             end = messages.RunnerEnd(POISON, place + number, 90, 80, 1)
             told = messages.Suspicions("c0", (end,))
             each.suspected.note_told(told, "10.0.0.000", fleet.now)
--- a/pollenfork/poison/tests/test_witness.py
+++ b/pollenfork/poison/tests/test_witness.py
@@ -37,5 +37,5 @@
     (runner,) = runners.list_all()
     made.note_broken(DIGEST, runner, 9.0, 10.0)
     made.note_broken(DIGEST, runner, 19.0, 20.0)
-    made.note_ended(fleets.evidence.mark(runner), 20.1, "nobody_there")
+    made.note_ended(fleets.evidence.hash_runner(runner), 20.1, "nobody_there")
     assert [each.ended_at for each in ends] == [20.0]
--- a/pollenfork/poison/witness.py
+++ b/pollenfork/poison/witness.py
@@ -121,9 +121,9 @@
         known = self._runners.find(runner.id)
         if known is None or known.leaving or runner.leaving:
             return  # It may have ended as planned.
-        if self._runners.read_kept_until(runner.id) is not None:
+        if self._runners.get_kept_until(runner.id) is not None:
             return
-        place = evidence.mark(runner)
+        place = evidence.hash_runner(runner)
         waiting = self._broken.setdefault(place, [])
         # A runner may break connections for hours and never end.
         waiting[:] = [
@@ -310,7 +310,7 @@
         for runner in live.values():
             known = self._places.get(runner.id)
             if known is None or known[0] is not runner:
-                self._places[runner.id] = runner, evidence.mark(runner)
+                self._places[runner.id] = runner, evidence.hash_runner(runner)
 
     def _find_runner(self, place: int) -> model.Runner | None:
         """Returns the runner at a place, if it is listed; it may be new."""
