--- a/pollenfork/gateway/ordering.py
+++ b/pollenfork/gateway/ordering.py
@@ -76,7 +76,7 @@
         subject = task.work.subject
         planned = self._planners.get(subject.service)
         if planned is not None and reply is messages.Reply.UNAVAILABLE:
-            planned.note_unavailable(subject.data_centre, now)
+            planned.record_unavailable(subject.data_centre, now)
 
     def _plan(
         self, service: ids.ServiceName, terms: routes.Scaling, now: float
@@ -92,7 +92,7 @@
             self._office.agenda.set_baseline(service, usual)
         planned = self._planners.get(service)
         if planned is None or planned.terms != terms:
-            need = demand.Demand(usual, view.ready, now)
+            need = demand.DemandEstimator(usual, view.ready, now)
             planned = planner.Planner(terms, need, unasked)
             self._planners[service] = planned
         use = self._measure(service)
@@ -107,8 +107,8 @@
                 view.ordered.get(target.kind, "-"),
                 view.ready,
                 use.backlog_s * 1000,
-                use.taken,
-                planned.usual,
+                use.slot_utilization,
+                planned.baseline,
             )
             subject = rows.Subject(
                 service, target.kind.data_centre, target.kind.reclaimable
@@ -127,25 +127,29 @@
 
     def _count(
         self, service: ids.ServiceName
-    ) -> dict[ids.DataCentre, model.Zone]:
+    ) -> dict[ids.DataCentre, model.RunnerCounts]:
         counted: dict[ids.DataCentre, list[int]] = {}
         for runner in self._known.runners.list_accepting(service):
             counts = counted.setdefault(runner.data_centre, [0, 0])
             counts[runner.reclaimable] += 1
-        return {each: model.Zone(*both) for each, both in counted.items()}
+        return {
+            each: model.RunnerCounts(*both) for each, both in counted.items()
+        }
 
-    def _measure(self, service: ids.ServiceName) -> model.Use:
+    def _measure(self, service: ids.ServiceName) -> model.Load:
         use = self._chooser.measure(service)
         if not use.runners:
-            return model.Use()
+            return model.Load()
         backlog_s = (
             use.pending_tokens / candidates.PREFILL_TOKENS_PER_S / use.runners
         )
-        return model.Use(backlog_s, use.active / use.slots)
+        return model.Load(backlog_s, use.active / use.slots)
 
-    def _list_ordered(self, service: ids.ServiceName) -> dict[model.Kind, int]:
+    def _list_ordered(
+        self, service: ids.ServiceName
+    ) -> dict[model.RunnerKind, int]:
         return {
-            model.Kind(
+            model.RunnerKind(
                 each.subject.data_centre, each.subject.reclaimable
             ): each.count
             for each in self._office.agenda.list_orders()
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -51,7 +51,10 @@
     def read_list(self, status, body):
         return self.read_feed(status, body).map(
             lambda news: fleet_messages.CacheReport(
-                news.changes, news.last_sequence, complete=True, epoch=news.epoch
+                news.changes,
+                news.last_sequence,
+                complete=True,
+                epoch=news.epoch,
             )
         )
 
--- a/pollenfork/scaling/__init__.py
+++ b/pollenfork/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many runners of which kind there shall be, and where."""
+"""Autoscaling: how many runners of each kind to order, and where."""
--- a/pollenfork/scaling/model.py
+++ b/pollenfork/scaling/model.py
@@ -1,87 +1,88 @@
-"""What decides how many runners there shall be."""
+"""The runners, load and orders that scaling decisions are based on."""
 
 import msgspec
 
 from pollenfork import ids
 
 
-class Zone(msgspec.Struct, frozen=True):
-    """The runners of a service in one data centre that take work.
+class RunnerCounts(msgspec.Struct, frozen=True):
+    """The number of a service's runners in one data centre that accept work.
 
     Attributes:
-        firm: Those that stay.
-        reclaimable: Those that may be taken away, all at once.
+        on_demand: Runners that are never reclaimed.
+        reclaimable: Runners that the provider may reclaim, all at once.
     """
 
-    firm: int = 0
+    on_demand: int = 0
     reclaimable: int = 0
 
     @property
     def ready(self) -> int:
-        """All that take work."""
-        return self.firm + self.reclaimable
+        """The number of runners of both kinds."""
+        return self.on_demand + self.reclaimable
 
-    def count(self, kind: "Kind") -> int:
-        """Returns those of a kind."""
-        return self.reclaimable if kind.reclaimable else self.firm
+    def count(self, kind: "RunnerKind") -> int:
+        """Returns the number of runners of a kind."""
+        return self.reclaimable if kind.reclaimable else self.on_demand
 
 
-class Use(msgspec.Struct, frozen=True):
-    """How busy a service's runners are.
+class Load(msgspec.Struct, frozen=True):
+    """The mean load of a service's runners.
 
     Attributes:
-        backlog_s: What each has to read on average, in seconds.
-        taken: The part of their places that is taken.
+        backlog_s: The mean prompt backlog, in seconds.
+        slot_utilization: The fraction of slots in use.
     """
 
     backlog_s: float = 0.0
-    taken: float = 0.0
+    slot_utilization: float = 0.0
 
 
-class Kind(msgspec.Struct, frozen=True):
-    """A kind of runners in one data centre."""
+class RunnerKind(msgspec.Struct, frozen=True):
+    """Reclaimable or on-demand runners in one data centre."""
 
     data_centre: ids.DataCentre
     reclaimable: bool
 
 
 class Target(msgspec.Struct, frozen=True):
-    """How many runners of a kind there shall be."""
+    """The number of runners of a kind to have."""
 
-    kind: Kind
+    kind: RunnerKind
     count: int
 
 
 class View(msgspec.Struct, frozen=True):
-    """What there is of a service's runners, and what was ordered.
+    """A service's runners and the orders in force.
 
     Attributes:
-        zones: The runners that take work, by data centre.
-        ordered: The latest order on each kind; what never was isn't there.
+        zones: The runners that accept work, by data centre.
+        ordered: The latest order for each kind; kinds never ordered are
+            missing.
     """
 
-    zones: dict[ids.DataCentre, Zone]
-    ordered: dict[Kind, int] = msgspec.field(default_factory=dict)
+    zones: dict[ids.DataCentre, RunnerCounts]
+    ordered: dict[RunnerKind, int] = msgspec.field(default_factory=dict)
 
     @property
     def ready(self) -> int:
-        """All runners that take work."""
+        """The number of runners that accept work."""
         return sum(zone.ready for zone in self.zones.values())
 
     @property
     def reclaimable(self) -> int:
-        """Those of them that may be taken away."""
+        """The number of reclaimable runners among them."""
         return sum(zone.reclaimable for zone in self.zones.values())
 
-    def count(self, kind: Kind) -> int:
-        """Returns how many of a kind take work."""
-        return self.zones.get(kind.data_centre, Zone()).count(kind)
+    def count(self, kind: RunnerKind) -> int:
+        """Returns the number of runners of a kind that accept work."""
+        return self.zones.get(kind.data_centre, RunnerCounts()).count(kind)
 
-    def find_ordered(self, kind: Kind) -> int:
-        """Returns how many were ordered; as many as there are if never."""
+    def get_ordered(self, kind: RunnerKind) -> int:
+        """Returns the ordered number; if never ordered, the present number."""
         return self.ordered.get(kind, self.count(kind))
 
-    def count_firm(self, data_centre: ids.DataCentre) -> int:
-        """Returns how many that stay there are, or are ordered."""
-        kind = Kind(data_centre, False)
-        return max(self.count(kind), self.find_ordered(kind))
+    def count_on_demand(self, data_centre: ids.DataCentre) -> int:
+        """Returns the greater of the on-demand runners present and ordered."""
+        kind = RunnerKind(data_centre, False)
+        return max(self.count(kind), self.get_ordered(kind))
--- a/pollenfork/scaling/tests/test_planner.py
+++ b/pollenfork/scaling/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Runners that may be taken away do the work, and others fill in for them."""
+"""Reclaimable runners are preferred, and on-demand runners fill in."""
 
 import pytest
 
@@ -16,32 +16,35 @@
     reclaimable_price=0.18,
     prices={A: 0.85, B: 1.2, C: 1.0},
 )
-CALM = model.Use()
-BUSY = model.Use(backlog_s=1.0)
+CALM = model.Load()
+BUSY = model.Load(backlog_s=1.0)
 
 
 class Fleet:
-    """Runners that start as long after their order as they take to boot."""
+    """Simulated runners that are ready one boot time after their order."""
 
-    def __init__(self, terms: routes.Scaling = TERMS, usual: int = 45) -> None:
+    def __init__(
+        self, terms: routes.Scaling = TERMS, baseline: int = 45
+    ) -> None:
         self.now = 0.0
         self.terms = terms
-        self.planner = planner.Planner(terms, demand.Demand(usual))
-        self.ordered: dict[model.Kind, int] = {}
+        self.planner = planner.Planner(terms, demand.DemandEstimator(baseline))
+        self.ordered: dict[model.RunnerKind, int] = {}
         self.ready = {
-            model.Kind(zone, False): usual // 3 for zone in terms.prices
+            model.RunnerKind(zone, False): baseline // 3
+            for zone in terms.prices
         }
-        self.starting: list[tuple[float, model.Kind]] = []
-        self.dry: set[ids.DataCentre] = set()
+        self.starting: list[tuple[float, model.RunnerKind]] = []
+        self.unavailable: set[ids.DataCentre] = set()
         self.orders: list[tuple[float, model.Target]] = []
         self.cost = 0.0
 
     @property
-    def zones(self) -> dict[ids.DataCentre, model.Zone]:
+    def zones(self) -> dict[ids.DataCentre, model.RunnerCounts]:
         return {
-            zone: model.Zone(
-                self.ready.get(model.Kind(zone, False), 0),
-                self.ready.get(model.Kind(zone, True), 0),
+            zone: model.RunnerCounts(
+                self.ready.get(model.RunnerKind(zone, False), 0),
+                self.ready.get(model.RunnerKind(zone, True), 0),
             )
             for zone in self.terms.prices
         }
@@ -50,7 +53,7 @@
     def total(self) -> int:
         return sum(self.ready.values())
 
-    def run(self, seconds: float, use: model.Use = CALM) -> None:
+    def run(self, seconds: float, load: model.Load = CALM) -> None:
         until = self.now + seconds
         while self.now < until:
             self.now += 0.25
@@ -59,13 +62,13 @@
                     self.starting.remove((moment, kind))
                     self.ready[kind] = self.ready.get(kind, 0) + 1
             view = model.View(self.zones, dict(self.ordered))
-            targets = self.planner.plan(view, use, self.now)
+            targets = self.planner.plan(view, load, self.now)
             for target in targets:
                 self._order(target)
             self.cost += 0.25 * sum(map(self._price, self._list_paid()))
 
     def reclaim(self, zone: ids.DataCentre) -> None:
-        kind = model.Kind(zone, True)
+        kind = model.RunnerKind(zone, True)
         self.ready[kind] = 0
         self.starting = [each for each in self.starting if each[1] != kind]
 
@@ -73,8 +76,8 @@
         kind = target.kind
         self.orders.append((self.now, target))
         self.ordered[kind] = target.count
-        if kind.reclaimable and kind.data_centre in self.dry:
-            self.planner.note_unavailable(kind.data_centre, self.now)
+        if kind.reclaimable and kind.data_centre in self.unavailable:
+            self.planner.record_unavailable(kind.data_centre, self.now)
             return
         coming = sum(each == kind for _, each in self.starting)
         have = self.ready.get(kind, 0)
@@ -82,26 +85,28 @@
             self.starting.append((self.now + self.terms.boot_s, kind))
         self.ready[kind] = min(have, target.count)
 
-    def _list_paid(self) -> list[model.Kind]:
+    def _list_paid(self) -> list[model.RunnerKind]:
         kinds = [kind for kind, n in self.ready.items() for _ in range(n)]
         return kinds + [kind for _, kind in self.starting]
 
-    def _price(self, kind: model.Kind) -> float:
+    def _price(self, kind: model.RunnerKind) -> float:
         part = self.terms.reclaimable_price if kind.reclaimable else 1.0
         return self.terms.prices[kind.data_centre] * part
 
 
-def test_dear_runners_go_once_cheap_ones_are_ready_in_their_place() -> None:
+def test_on_demand_runners_are_released_once_replacements_are_ready() -> None:
     fleet = Fleet()
     least = fleet.total
     for _ in range(80):
         fleet.run(0.25)
         least = min(least, fleet.total)
     assert least == 45
-    assert fleet.zones == {zone: model.Zone(0, 15) for zone in (A, B, C)}
+    assert fleet.zones == {
+        zone: model.RunnerCounts(0, 15) for zone in (A, B, C)
+    }
 
 
-def test_what_is_steady_is_ordered_once() -> None:
+def test_a_steady_state_needs_no_further_orders() -> None:
     fleet = Fleet()
     fleet.run(20.0)
     count = len(fleet.orders)
@@ -110,7 +115,7 @@
     assert count <= 6
 
 
-def test_those_of_one_place_that_are_taken_away_leave_two_thirds() -> None:
+def test_two_thirds_remain_when_one_data_centre_is_reclaimed() -> None:
     fleet = Fleet()
     fleet.run(20.0)
     fleet.reclaim(A)
@@ -119,51 +124,55 @@
     assert fleet.total == 45
 
 
-def test_where_one_place_has_none_the_others_have_more() -> None:
+def test_other_data_centres_replace_one_without_reclaimable_runners() -> None:
     fleet = Fleet()
     fleet.run(20.0)
-    fleet.dry = {A}
+    fleet.unavailable = {A}
     fleet.reclaim(A)
     fleet.run(8.0)
     assert fleet.total == 45 + TERMS.least
-    assert fleet.zones[A] == model.Zone(TERMS.least, 0)
+    assert fleet.zones[A] == model.RunnerCounts(TERMS.least, 0)
     count = len(fleet.orders)
-    fleet.dry.clear()
+    fleet.unavailable.clear()
     fleet.run(20.0)
-    assert len(fleet.orders) == count  # What was read there stays.
+    assert len(fleet.orders) == count  # Cached prompts stay where they are.
 
 
-def test_where_none_are_to_be_had_dear_ones_fill_in_up_to_the_essential() -> (
-    None
-):
+def test_on_demand_runners_fill_in_up_to_the_minimum() -> None:
     fleet = Fleet()
     fleet.run(20.0)
-    fleet.dry = {A, B, C}
+    fleet.unavailable = {A, B, C}
     fleet.reclaim(A)
     fleet.reclaim(B)
     fleet.run(8.0)
     assert fleet.total >= 31
-    dear = [target for _, target in fleet.orders if not target.kind.reclaimable]
+    on_demand = [
+        target for _, target in fleet.orders if not target.kind.reclaimable
+    ]
     fleet.run(10.0)
-    assert dear == [
+    assert on_demand == [
         target for _, target in fleet.orders if not target.kind.reclaimable
     ]
-    fleet.dry.clear()
+    fleet.unavailable.clear()
     fleet.run(12.0)
-    assert sum(zone.firm for zone in fleet.zones.values()) == 0
+    assert sum(zone.on_demand for zone in fleet.zones.values()) == 0
     assert fleet.total == 45
 
 
-def test_dear_ones_go_sooner_while_nobody_has_asked_for_anything() -> None:
+def test_on_demand_runners_of_an_unused_service_are_released_sooner() -> None:
     fleet = Fleet()
-    fleet.planner = planner.Planner(TERMS, demand.Demand(45), unasked=True)
+    fleet.planner = planner.Planner(
+        TERMS, demand.DemandEstimator(45), unused=True
+    )
     fleet.run(1.0)
     assert fleet.total == 15
     fleet.run(8.0)
-    assert fleet.zones == {zone: model.Zone(0, 15) for zone in (A, B, C)}
+    assert fleet.zones == {
+        zone: model.RunnerCounts(0, 15) for zone in (A, B, C)
+    }
 
 
-def test_busy_runners_get_more_and_keep_them_for_a_while() -> None:
+def test_runners_added_under_load_stay_for_the_hold_time() -> None:
     fleet = Fleet()
     fleet.run(20.0)
     fleet.run(1.0, BUSY)
@@ -173,37 +182,39 @@
     assert fleet.total == 45
 
 
-def test_orders_are_within_what_may_be_ordered() -> None:
-    fleet = Fleet(usual=45)
-    fleet.run(2.0, model.Use(backlog_s=9.0))
-    fleet.run(30.0, model.Use(backlog_s=9.0))
+def test_orders_stay_within_the_limits() -> None:
+    fleet = Fleet(baseline=45)
+    fleet.run(2.0, model.Load(backlog_s=9.0))
+    fleet.run(30.0, model.Load(backlog_s=9.0))
     for _, target in fleet.orders:
         assert 0 <= target.count <= TERMS.most
     for zone in fleet.zones.values():
         assert TERMS.least <= zone.ready <= TERMS.most
 
 
-def test_a_day_on_which_cheap_ones_are_refused_is_as_before() -> None:
+def test_without_reclaimable_runners_on_demand_ones_stay() -> None:
     fleet = Fleet()
-    fleet.dry = {A, B, C}
+    fleet.unavailable = {A, B, C}
     fleet.run(60.0)
-    assert fleet.zones == {zone: model.Zone(15, 0) for zone in (A, B, C)}
+    assert fleet.zones == {
+        zone: model.RunnerCounts(15, 0) for zone in (A, B, C)
+    }
 
 
-def test_without_a_price_for_them_none_are_ordered() -> None:
+def test_without_a_price_no_reclaimable_runners_are_ordered() -> None:
     terms = routes.Scaling(
         least=1, most=30, boot_s=4.0, reclaimable_price=None, prices={A: 1.0}
     )
-    fleet = Fleet(terms, usual=15)
+    fleet = Fleet(terms, baseline=15)
     fleet.run(20.0)
     assert not any(target.kind.reclaimable for _, target in fleet.orders)
 
 
-def test_a_new_holder_orders_nothing_that_stands() -> None:
+def test_a_new_duty_holder_does_not_repeat_orders() -> None:
     fleet = Fleet()
     fleet.run(20.0)
     fleet.planner = planner.Planner(
-        TERMS, demand.Demand(45, fleet.total, fleet.now)
+        TERMS, demand.DemandEstimator(45, fleet.total, fleet.now)
     )
     count = len(fleet.orders)
     fleet.run(10.0)
@@ -211,7 +222,7 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.5, 2.0, 6.0, 15.0])
-def test_bursts_change_orders_no_more_than_twice_a_hold(gap_s) -> None:
+def test_bursts_change_orders_at_most_twice_per_hold_time(gap_s) -> None:
     fleet = Fleet()
     fleet.run(20.0)
     count = len(fleet.orders)
@@ -221,34 +232,38 @@
     assert len(fleet.orders) - count <= 3 * 2 * (60 / 20 + 1)
 
 
-def test_it_costs_a_quarter_of_what_stood_there() -> None:
+def test_the_cost_falls_to_about_a_quarter() -> None:
     fleet = Fleet()
     fleet.run(60.0)
     assert fleet.cost < 0.35 * 45 / 3 * (0.85 + 1.2 + 1.0) * 60
 
 
-def test_more_come_at_the_first_sign_and_go_after_the_last() -> None:
-    need = demand.Demand(30)
-    assert need.find_total(CALM, 0.0) == 30
-    for look in range(10):
-        busy = need.find_total(model.Use(backlog_s=0.5), 1.0 + look * 0.1)
+def test_demand_rises_with_pressure_and_falls_after_the_hold_time() -> None:
+    estimator = demand.DemandEstimator(30)
+    assert estimator.estimate_total(CALM, 0.0) == 30
+    for sample in range(10):
+        busy = estimator.estimate_total(
+            model.Load(backlog_s=0.5), 1.0 + sample * 0.1
+        )
     assert 39 <= busy <= 45
-    for look in range(10):
-        busy = need.find_total(model.Use(taken=1.0), 2.0 + look * 0.1)
+    for sample in range(10):
+        busy = estimator.estimate_total(
+            model.Load(slot_utilization=1.0), 2.0 + sample * 0.1
+        )
     assert busy > 45
-    for look in range(10):
-        assert need.find_total(CALM, 3.0 + look * 0.1) > 45
-    assert need.find_total(CALM, 21.0) > 45
-    assert need.find_total(CALM, 24.1) == 30
+    for sample in range(10):
+        assert estimator.estimate_total(CALM, 3.0 + sample * 0.1) > 45
+    assert estimator.estimate_total(CALM, 21.0) > 45
+    assert estimator.estimate_total(CALM, 24.1) == 30
 
 
-def test_one_long_prompt_is_no_sign() -> None:
-    need = demand.Demand(30)
-    assert need.find_total(model.Use(backlog_s=0.9), 1.0) == 30
-    assert need.find_total(CALM, 1.25) == 30
+def test_a_single_long_prompt_does_not_raise_demand() -> None:
+    estimator = demand.DemandEstimator(30)
+    assert estimator.estimate_total(model.Load(backlog_s=0.9), 1.0) == 30
+    assert estimator.estimate_total(CALM, 1.25) == 30
 
 
-def test_who_takes_over_lets_go_no_runner_that_was_just_needed() -> None:
+def test_a_new_duty_holder_releases_no_runner_needed_recently() -> None:
     fleet = Fleet()
     fleet.run(20.0)
     fleet.run(2.0, BUSY)
@@ -256,7 +271,7 @@
     many = fleet.total
     assert many > 58
     fleet.planner = planner.Planner(
-        TERMS, demand.Demand(45, fleet.total, fleet.now)
+        TERMS, demand.DemandEstimator(45, fleet.total, fleet.now)
     )
     fleet.run(15.0)
     assert fleet.total == many
@@ -264,10 +279,10 @@
     assert fleet.total == 45
 
 
-def test_a_place_that_lost_all_has_as_many_as_there_must_be() -> None:
+def test_a_data_centre_that_lost_all_runners_gets_the_minimum() -> None:
     fleet = Fleet()
     fleet.run(20.0)
-    fleet.dry = {A}
+    fleet.unavailable = {A}
     fleet.reclaim(A)
     fleet.run(8.0)
     assert fleet.zones[A].ready >= TERMS.least
