--- a/pollenfork/fleet/tests/test_retry_budget.py
+++ b/pollenfork/fleet/tests/test_retry_budget.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     ("count", "extra"), [(2, 10), (6, 52), (8, 56), (76, 192), (360, 430)]
 )
-def test_the_extra_retries_of_all_instances_stay_within_the_budget(
+def test_the_extra_repeats_of_all_instances_keep_to_the_budget(
     count, extra
 ) -> None:
     taken = 0
