--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -59,7 +59,9 @@
     ),
     "early-refusals": (Switch(refusals, "find_longest", _do_nothing),),
     "news-of-caches": (Switch(cache_feed.CacheFeed, "check", _do_nothing),),
-    "shared-placements": (Switch(choice.Chooser, "take_placed", _give([])),),
+    "shared-placements": (
+        Switch(choice.Chooser, "take_placements", _give([])),
+    ),
     "homes-by-hashing": (Switch(candidates, "_find_hash_owner", _do_nothing),),
     "copies-of-prompts": (Switch(copies, "find_sources", _do_nothing),),
     "weight-in-a-crowd": (Switch(candidates, "_BACKLOG_MOVE_WEIGHT", 0.0),),
@@ -70,7 +72,9 @@
     "long-prompts-told-at-once": (
         Switch(peers.Peers, "tell_soon", _do_nothing),
     ),
-    "findings-of-others": (Switch(evidence.Evidence, "take_found", _give([])),),
+    "findings-of-others": (
+        Switch(evidence.Evidence, "take_findings", _give([])),
+    ),
     "gossip-of-the-store": (Switch(gossip.Gossip, "tell", _give([])),),
     "room-in-kept-apart-slots": (
         Switch(candidates, "_RESERVED_SLOT_SHARE", _NEVER),
--- a/pollenfork/fleet/choice.py
+++ b/pollenfork/fleet/choice.py
@@ -224,7 +224,7 @@
         """Forgets other instances' placements on runners unknown here."""
         self.caches.retain(self.list_hashes())
 
-    def take_placed(self) -> list[loads.Placed]:
+    def take_placements(self) -> list[loads.Placed]:
         """Returns the placements since the last call."""
         placed, self._placed = self._placed, []
         return placed
--- a/pollenfork/fleet/evidence.py
+++ b/pollenfork/fleet/evidence.py
@@ -80,7 +80,7 @@
         if sign is Sign.DISPLACED:
             self._get_state(runner.id).displaced_from = runner.address
 
-    def take_found(self) -> list[messages.Finding]:
+    def take_findings(self) -> list[messages.Finding]:
         """Returns this instance's findings since the last call."""
         found = list(self._found)
         self._found.clear()
--- a/pollenfork/fleet/tests/test_choice.py
+++ b/pollenfork/fleet/tests/test_choice.py
@@ -163,10 +163,10 @@
     chooser.when_long(lambda: announced.append(True))
     chooser.choose(ask(), set(), 0.0)
     assert announced == [True]
-    assert [each.part for each in chooser.take_placed()] == [
+    assert [each.part for each in chooser.take_placements()] == [
         loads.hash_name(b"shared")
     ]
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
 
 
 def test_a_runner_that_fails_four_in_ten_is_avoided_by_plain_requests() -> None:
--- a/pollenfork/fleet/tests/test_evidence.py
+++ b/pollenfork/fleet/tests/test_evidence.py
@@ -72,10 +72,10 @@
     runner = bench.runners.find(ids.EndpointId("r1"))
     bench.evidence.record(runner, Sign.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
-    assert [each.sign for each in bench.evidence.take_found()] == [
+    assert [each.sign for each in bench.evidence.take_findings()] == [
         Sign.DISPLACED
     ]
-    assert bench.evidence.take_found() == []
+    assert bench.evidence.take_findings() == []
 
 
 def test_a_finding_does_not_apply_to_a_runner_that_has_moved(bench) -> None:
@@ -134,7 +134,7 @@
     runner = bench.runners.find(ids.EndpointId("r1"))
     for _ in range(10_000):
         bench.evidence.record(runner, Sign.REFUSED)
-    assert len(bench.evidence.take_found()) <= 200
+    assert len(bench.evidence.take_findings()) <= 200
 
 
 class _LocalInstance:
@@ -147,7 +147,7 @@
         return None
 
     def take_found(self) -> list[loads.Finding]:
-        return self._evidence.take_found()
+        return self._evidence.take_findings()
 
     def note_found(self, finding: loads.Finding, now: float) -> None:
         self._evidence.receive(finding, now)
--- a/pollenfork/fleet/tests/test_limits.py
+++ b/pollenfork/fleet/tests/test_limits.py
@@ -68,9 +68,9 @@
     profile = test_choice.ask()
     grant = chooser.choose(profile, set(), 1.0)
     assert grant.limited
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
     chooser.confirm(grant, profile)
-    assert [each.runner for each in chooser.take_placed()] == [
+    assert [each.runner for each in chooser.take_placements()] == [
         grant.state.incarnation_hash
     ]
 
--- a/pollenfork/fleet/tests/test_prefix_index.py
+++ b/pollenfork/fleet/tests/test_prefix_index.py
@@ -45,7 +45,7 @@
     assert count_uncached(chooser) == 0
     assert chooser.apply_cache_report(RUNNER, make_report((b"b", False))) == 1
     assert count_uncached(chooser) == 3800
-    assert chooser.take_placed() == [
+    assert chooser.take_placements() == [
         loads.Placed(loads.hash_name(b"b"), RUNNER_HASH, kept=False)
     ]
 
@@ -56,13 +56,13 @@
     assert (
         chooser.apply_cache_report(RUNNER, make_report((b"never", False))) == 0
     )
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
 
 
 def test_a_part_of_a_single_request_is_not_shared() -> None:
     chooser = make_chooser(*SHARED)
     assert chooser.apply_cache_report(RUNNER, make_report((b"own", True))) == 0
-    assert chooser.take_placed() == []
+    assert chooser.take_placements() == []
 
 
 def test_an_eviction_reported_late_is_corrected_by_the_next_report() -> None:
@@ -138,5 +138,5 @@
 def test_shared_changes_give_another_instance_the_same_view() -> None:
     here, there = make_chooser(*SHARED), make_chooser(*SHARED)
     here.apply_cache_report(RUNNER, make_report((b"a", False)))
-    there.caches.apply(here.take_placed())
+    there.caches.apply(here.take_placements())
     assert count_uncached(there) == 6300
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -45,7 +45,7 @@
 
     def take_placed(self) -> list[messages.Placed]:
         """Returns what it has placed since the last call."""
-        return self._chooser.take_placed()
+        return self._chooser.take_placements()
 
     def note_placed(self, placed: Iterable[messages.Placed]) -> None:
         """Takes what others have placed."""
@@ -79,7 +79,7 @@
 
     def take_found(self) -> list[messages.Finding]:
         """Returns what it has found out of runners since the last call."""
-        return self._evidence.take_found()
+        return self._evidence.take_findings()
 
     def note_found(self, finding: messages.Finding, now: float) -> None:
         """Takes what another one has found out of a runner."""
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -69,7 +69,7 @@
         return self.chooser.list_loads()
 
     def take_placed(self):
-        return self.chooser.take_placed()
+        return self.chooser.take_placements()
 
     def list_placed(self):
         return []
