--- a/benchmarks/decisions/policies.py
+++ b/benchmarks/decisions/policies.py
@@ -137,14 +137,16 @@
 class Alone:
     """No joint action: each instance fills what it sees as free."""
 
-    def allow(self, claims: sharing.Claims, tier: int, asking: int) -> int:
+    def max_slots(
+        self, usage: sharing.SlotUsage, tier: int, asking: int
+    ) -> int:
         """Returns how many slots may be held."""
-        del claims, tier, asking
+        del usage, tier, asking
         return 1 << 30
 
-    def keep_free(self, claims: sharing.Claims, tier: int) -> float:
+    def headroom(self, usage: sharing.SlotUsage, tier: int) -> float:
         """Leaves nothing."""
-        del claims, tier
+        del usage, tier
         return 0.0
 
 
@@ -154,16 +156,18 @@
     def __init__(self, instances: int) -> None:
         self._instances = instances
 
-    def allow(self, claims: sharing.Claims, tier: int, asking: int) -> int:
+    def max_slots(
+        self, usage: sharing.SlotUsage, tier: int, asking: int
+    ) -> int:
         """Returns how many slots may be held."""
         del asking
-        part = math.ceil(claims.capacity / self._instances)
-        own = claims.own_in_flight
+        part = math.ceil(usage.capacity / self._instances)
+        own = usage.own_in_flight
         return part - sum(own) + own[tier]
 
-    def keep_free(self, claims: sharing.Claims, tier: int) -> float:
+    def headroom(self, usage: sharing.SlotUsage, tier: int) -> float:
         """Leaves nothing."""
-        del claims, tier
+        del usage, tier
         return 0.0
 
 
@@ -173,15 +177,17 @@
     def __init__(self) -> None:
         self._split = sharing.DemandSplit()
 
-    def allow(self, claims: sharing.Claims, tier: int, asking: int) -> int:
+    def max_slots(
+        self, usage: sharing.SlotUsage, tier: int, asking: int
+    ) -> int:
         """Returns every slot while headroom is left."""
-        nobody = [0] * len(claims.peer_waiting)
-        alone = msgspec.structs.replace(claims, peer_waiting=nobody)
-        return 1 << 30 if self._split.allow(alone, tier, asking) else 0
+        nobody = [0] * len(usage.peer_waiting)
+        alone = msgspec.structs.replace(usage, peer_waiting=nobody)
+        return 1 << 30 if self._split.max_slots(alone, tier, asking) else 0
 
-    def keep_free(self, claims: sharing.Claims, tier: int) -> float:
+    def headroom(self, usage: sharing.SlotUsage, tier: int) -> float:
         """Leaves the same headroom as the split."""
-        return self._split.keep_free(claims, tier)
+        return self._split.headroom(usage, tier)
 
 
 def create(
@@ -192,7 +198,7 @@
         return Fifo(instance, pick_round_robin)
     if name == "fifo-least-in-flight":
         return Fifo(instance, pick_least_in_flight)
-    splits: dict[str, sharing.Sharing] = {
+    splits: dict[str, sharing.SlotSharing] = {
         "tiers-alone": Alone(),
         "fixed-share": FixedShare(instances),
         "subset": Alone(),
--- a/pollenfork/accrual.py
+++ b/pollenfork/accrual.py
@@ -37,20 +37,22 @@
         present = list(self._list_places())
         for place in present:
             slots = self._count_slots(place, now)
-            hold = self._forecast.expect_hold(place.key, place.pool, place.tier)
+            hold = self._forecast.predict_hold(
+                place.key, place.pool, place.tier
+            )
             self._shares.accrue(place, slots * elapsed, hold)
         self._shares.retain(present)
 
-    def _list_places(self) -> Iterator[shares.Place]:
-        for pool, tier in self._admission.list_places():
+    def _list_places(self) -> Iterator[shares.WaitingClass]:
+        for pool, tier in self._admission.list_queues():
             for key in self._admission.list_classes(pool, tier):
-                yield shares.Place(pool, key, tier)
+                yield shares.WaitingClass(pool, key, tier)
 
-    def _count_slots(self, place: shares.Place, now: float) -> float:
+    def _count_slots(self, place: shares.WaitingClass, now: float) -> float:
         """Returns the class's slots at this instance, a fraction mostly."""
-        claims = self._dispatch.read_claims(place.pool)
+        claims = self._dispatch.get_slot_usage(place.pool)
         if claims is None:
             return 0.0
         pool, key, tier = place
-        share = self._admission.read_share(pool, tier, key, now)
+        share = self._admission.get_minimum_share(pool, tier, key, now)
         return share * claims.capacity / claims.instances
--- a/pollenfork/admission/core.py
+++ b/pollenfork/admission/core.py
@@ -16,7 +16,7 @@
 
 _Reason = messages.RefusalReason
 
-Given = tuple[queues.Waiting, messages.RefusalReason]
+Removal = tuple[queues.QueuedRequest, messages.RefusalReason]
 
 
 class Admission:
@@ -31,12 +31,12 @@
         self._limit = waiting_limit
         self._size = 0
         self._sequence = itertools.count()
-        self._waiting: dict[ids.RequestId, queues.Waiting] = {}
+        self._waiting: dict[ids.RequestId, queues.QueuedRequest] = {}
         self._tiers: dict[
             tuple[messages.PoolKey, ids.Tier], queues.TierQueue
         ] = {}
         self._evictable = _Evictable()
-        self._expiry: list[tuple[float, int, queues.Waiting]] = []
+        self._expiry: list[tuple[float, int, queues.QueuedRequest]] = []
         self._open: dict[ids.RequestId, messages.Ask] = {}
         self._by_account: dict[tuple[ids.Team, ids.AccountId], int] = {}
         self._by_team: dict[ids.Team, int] = {}
@@ -47,7 +47,7 @@
         """Requests waiting."""
         return self._size
 
-    def find_barrier(self, ask: messages.Ask) -> _Reason | None:
+    def find_refusal(self, ask: messages.Ask) -> _Reason | None:
         """Returns the bound that keeps the request out, if any."""
         account = self._by_account.get((ask.team, ask.account), 0)
         if account >= ask.account_limit:
@@ -72,9 +72,9 @@
         _add(self._by_account, (ask.team, ask.account), 1)
         _add(self._by_team, ask.team, 1)
 
-    def add(self, ask: messages.Ask, expires_at: float) -> queues.Waiting:
+    def add(self, ask: messages.Ask, expires_at: float) -> queues.QueuedRequest:
         """Queues a request that no bound keeps out; see `pop_victims`."""
-        waiting = queues.Waiting(ask, next(self._sequence))
+        waiting = queues.QueuedRequest(ask, next(self._sequence))
         self.open(ask)
         _add(self._by_class, messages.class_key(ask), 1)
         self._evictable.add(waiting)
@@ -86,13 +86,13 @@
         ask: messages.Ask,
         avoid: tuple[ids.EndpointId, ...],
         expires_at: float,
-    ) -> queues.Waiting:
+    ) -> queues.QueuedRequest:
         """Queues a request that ran before, ahead of its tier."""
-        waiting = queues.Waiting(ask, next(self._sequence), True, avoid)
+        waiting = queues.QueuedRequest(ask, next(self._sequence), True, avoid)
         self._enqueue(waiting, expires_at)
         return waiting
 
-    def pop_victims(self, tier: ids.Tier) -> list[Given]:
+    def pop_victims(self, tier: ids.Tier) -> list[Removal]:
         """Evicts from below `tier` what an `add` brought over the bound."""
         evicted = []
         while self._size > self._limit:
@@ -103,7 +103,7 @@
             evicted.append((victim, _Reason.EVICTED))
         return evicted
 
-    def pop_expired(self, now: float) -> list[Given]:
+    def pop_expired(self, now: float) -> list[Removal]:
         """Gives up the requests whose time has come."""
         expired = []
         while self._expiry and self._expiry[0][0] <= now:
@@ -118,14 +118,14 @@
             expired.append((waiting, reason))
         return expired
 
-    def withdraw(self, request: ids.RequestId) -> queues.Waiting | None:
+    def withdraw(self, request: ids.RequestId) -> queues.QueuedRequest | None:
         """Gives up a waiting request whose caller is gone."""
         waiting = self._waiting.get(request)
         if waiting is not None:
             self._give_up(waiting)
         return waiting
 
-    def pop_all(self) -> list[queues.Waiting]:
+    def pop_all(self) -> list[queues.QueuedRequest]:
         """Gives up everything that waits."""
         rest = list(self._waiting.values())
         for waiting in rest:
@@ -138,12 +138,12 @@
         tier: ids.Tier,
         now: float,
         only: messages.ClassKey | None = None,
-    ) -> queues.Waiting | None:
+    ) -> queues.QueuedRequest | None:
         """Returns the request to serve next; `take` removes it."""
         queue = self._tiers.get((pool, tier))
         return queue.find_next(now, only) if queue else None
 
-    def take(self, waiting: queues.Waiting) -> None:
+    def take(self, waiting: queues.QueuedRequest) -> None:
         """Removes the request that `find_next` returned: it is served."""
         queue = self._tiers[_place(waiting)]
         queue.take(waiting)
@@ -180,13 +180,13 @@
         queue = self._tiers.get((pool, tier))
         return queue.list_classes() if queue else ()
 
-    def list_places(self) -> list[tuple[messages.PoolKey, ids.Tier]]:
+    def list_queues(self) -> list[tuple[messages.PoolKey, ids.Tier]]:
         """Returns the pools and tiers with requests, urgent tiers first."""
         places = [place for place, queue in self._tiers.items() if queue.size]
         places.sort(key=lambda place: place[1])
         return places
 
-    def read_share(
+    def get_minimum_share(
         self,
         pool: messages.PoolKey,
         tier: ids.Tier,
@@ -208,7 +208,9 @@
                 waits[(pool, tier)] = now - head.ask.arrived
         return waits
 
-    def _enqueue(self, waiting: queues.Waiting, expires_at: float) -> None:
+    def _enqueue(
+        self, waiting: queues.QueuedRequest, expires_at: float
+    ) -> None:
         ask = waiting.ask
         pool, tier = _place(waiting)
         queue = self._tiers.get((pool, tier))
@@ -224,13 +226,13 @@
         expiry = (expires_at, waiting.sequence, waiting)
         heapq.heappush(self._expiry, expiry)
 
-    def _give_up(self, waiting: queues.Waiting) -> None:
+    def _give_up(self, waiting: queues.QueuedRequest) -> None:
         self._tiers[_place(waiting)].drop(waiting)
         self._forget(waiting)
         if not waiting.again:
             self.close(waiting.ask.request)
 
-    def _forget(self, waiting: queues.Waiting) -> None:
+    def _forget(self, waiting: queues.QueuedRequest) -> None:
         ask = waiting.ask
         self._size -= 1
         self.depths[messages.pool_key(ask)][ask.tier] -= 1
@@ -250,14 +252,14 @@
     def __init__(self) -> None:
         self._tiers: dict[tuple[ids.Tier, bool], _Heap] = {}
 
-    def add(self, waiting: queues.Waiting) -> None:
+    def add(self, waiting: queues.QueuedRequest) -> None:
         key = (waiting.ask.tier, waiting.ask.protected)
         heap = self._tiers.get(key)
         if heap is None:
             heap = self._tiers[key] = _Heap()
         heap.add(waiting)
 
-    def drop(self, waiting: queues.Waiting) -> None:
+    def drop(self, waiting: queues.QueuedRequest) -> None:
         self._tiers[(waiting.ask.tier, waiting.ask.protected)].drop()
 
     def has_victim(self, ask: messages.Ask) -> bool:
@@ -266,7 +268,7 @@
             for (tier, _), heap in self._tiers.items()
         )
 
-    def find_victim(self, above: ids.Tier) -> queues.Waiting | None:
+    def find_victim(self, above: ids.Tier) -> queues.QueuedRequest | None:
         # Protected work gives way only where nothing else is left, and only
         # to a higher tier.
         for protected in (False, True):
@@ -285,9 +287,9 @@
 
     def __init__(self) -> None:
         self.alive = 0
-        self._heap: list[tuple[float, int, queues.Waiting]] = []
+        self._heap: list[tuple[float, int, queues.QueuedRequest]] = []
 
-    def add(self, waiting: queues.Waiting) -> None:
+    def add(self, waiting: queues.QueuedRequest) -> None:
         self.alive += 1
         due = waiting.ask.first_token_due
         heapq.heappush(self._heap, (-due, -waiting.sequence, waiting))
@@ -299,14 +301,14 @@
             self._heap = [entry for entry in self._heap if entry[2].alive]
             heapq.heapify(self._heap)
 
-    def find_latest(self) -> queues.Waiting:
+    def find_latest(self) -> queues.QueuedRequest:
         while not self._heap[0][2].alive:
             heapq.heappop(self._heap)
         return self._heap[0][2]
 
 
 def _place(
-    waiting: queues.Waiting,
+    waiting: queues.QueuedRequest,
 ) -> tuple[messages.PoolKey, ids.Tier]:
     return messages.pool_key(waiting.ask), waiting.ask.tier
 
--- a/pollenfork/admission/forecast.py
+++ b/pollenfork/admission/forecast.py
@@ -26,7 +26,7 @@
 _CORRECTION_FROM_S = 0.2
 
 
-class Supply(msgspec.Struct, frozen=True):
+class PoolLoad(msgspec.Struct, frozen=True):
     """What the endpoints of a pool have and what presses on them.
 
     Attributes:
@@ -91,7 +91,7 @@
             sketches.Mean(1.0, _WEIGHT) for _ in range(model.TIER_COUNT)
         ]
 
-    def note_grant(self, ask: messages.Ask, now: float) -> None:
+    def record_grant(self, ask: messages.Ask, now: float) -> None:
         """Counts a request that got its slot."""
         pool = messages.pool_key(ask)
         grants = self._grants.get(pool)
@@ -99,7 +99,7 @@
             grants = self._grants[pool] = _Grants(now)
         grants.note(ask.tier, now)
 
-    def note_first(self, ask: messages.Ask, seconds: float) -> None:
+    def record_first_token(self, ask: messages.Ask, seconds: float) -> None:
         """Takes the time from grant to first token."""
         pool = messages.pool_key(ask)
         sketch = self._first_ms.get(pool)
@@ -107,7 +107,7 @@
             sketch = self._first_ms[pool] = sketches.Sketch()
         sketch.record(round(seconds * _MS))
 
-    def note_end(
+    def record_end(
         self, ask: messages.Ask, hold_s: float, tokens: int, answering_s: float
     ) -> None:
         """Takes how long a whole answer held its slot, and its length."""
@@ -125,7 +125,9 @@
         if tokens > 1:
             _record_mean(self._gap_s, pool, answering_s / (tokens - 1))
 
-    def note_wait(self, waiting: queues.Waiting, actual_s: float) -> None:
+    def record_wait(
+        self, waiting: queues.QueuedRequest, actual_s: float
+    ) -> None:
         """Compares a wait with its prediction and corrects the next ones."""
         predicted = waiting.predicted_s
         if predicted < _CORRECTION_FROM_S:
@@ -136,20 +138,20 @@
         correction.record(correction.value * ratio)
         correction.value = min(max(correction.value, low), high)
 
-    def expect_hold(
+    def predict_hold(
         self, key: messages.ClassKey, pool: messages.PoolKey, tier: ids.Tier
     ) -> float:
         """Returns the seconds that a request of the class holds a slot."""
         held = self._holds.get((key, pool))
         return held.value if held else self._expect_tier_hold(pool, tier)
 
-    def expect_first(self, ask: messages.Ask, part: float) -> float:
+    def predict_first_token(self, ask: messages.Ask, part: float) -> float:
         """Returns the quantile of the seconds from grant to first token."""
         sketch = self._first_ms.get(messages.pool_key(ask))
         found = sketch.quantile(part) if sketch else None
         return found / _MS if found else _FIRST_TOKEN_GUESS_S
 
-    def expect_answer(self, ask: messages.Ask, part: float) -> float:
+    def predict_answer(self, ask: messages.Ask, part: float) -> float:
         """Returns the quantile of the seconds from grant to the last token."""
         pool = messages.pool_key(ask)
         sketch = self._tokens.get((messages.class_key(ask), pool))
@@ -158,10 +160,10 @@
             tokens = min(tokens, ask.max_tokens)
         gap = self._gap_s.get(pool)
         answering = tokens * gap.value if gap else 0.0
-        return self.expect_first(ask, part) + answering
+        return self.predict_first_token(ask, part) + answering
 
     def predict_wait(
-        self, ask: messages.Ask, ahead: int, supply: Supply, now: float
+        self, ask: messages.Ask, ahead: int, supply: PoolLoad, now: float
     ) -> Wait:
         """Returns what stands between the request and its slot.
 
@@ -181,7 +183,7 @@
         return Wait(queue, rate / self._corrections[tier].value)
 
     def _estimate_rate(
-        self, ask: messages.Ask, supply: Supply, now: float
+        self, ask: messages.Ask, supply: PoolLoad, now: float
     ) -> float:
         pool = messages.pool_key(ask)
         releases = sum(
@@ -228,7 +230,7 @@
         self._since = now
 
 
-def _scale_ahead(ahead: int, supply: Supply, tier: ids.Tier) -> float:
+def _scale_ahead(ahead: int, supply: PoolLoad, tier: ids.Tier) -> float:
     """Scales what is ahead here to all instances, which share the slots."""
     own = supply.own_waiting[tier]
     peers = supply.peer_waiting[tier]
--- a/pollenfork/admission/queues.py
+++ b/pollenfork/admission/queues.py
@@ -11,7 +11,7 @@
 _REMEMBERED_ACCOUNTS = 1024
 
 
-class Waiting:
+class QueuedRequest:
     """One waiting request.
 
     Attributes:
@@ -27,18 +27,18 @@
         self,
         ask: messages.Ask,
         sequence: int,
-        again: bool = False,
+        is_retry: bool = False,
         avoid: tuple[ids.EndpointId, ...] = (),
     ) -> None:
         self.ask = ask
         self.sequence = sequence
-        self.again = again
+        self.again = is_retry
         self.avoid = avoid
         self.alive = True
         self.predicted_s = 0.0
 
 
-Order = tuple[bool, float, int]  # Late, deadline, arrival.
+SortKey = tuple[bool, float, int]  # Late, deadline, arrival.
 
 
 class ClassQueue:
@@ -53,14 +53,14 @@
     def __init__(self) -> None:
         self.size = 0
         self._accounts: dict[
-            ids.AccountId, list[tuple[bool, float, int, Waiting]]
+            ids.AccountId, list[tuple[bool, float, int, QueuedRequest]]
         ] = {}
         self._turns: list[tuple[float, int, ids.AccountId]] = []
         self._served: dict[ids.AccountId, float] = {}
         self._virtual = 0.0
         self._order = itertools.count()
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Queues the request behind its account's earlier deadlines."""
         ask = waiting.ask
         self.size += 1
@@ -73,7 +73,7 @@
         start = max(self._virtual, self._served.get(ask.account, 0.0))
         self._push_turn(start, ask.account)
 
-    def find_next(self, now: float) -> Waiting | None:
+    def find_next(self, now: float) -> QueuedRequest | None:
         """Returns the request to serve next, which stays in the queue."""
         while self._turns:
             _, _, account = self._turns[0]
@@ -95,7 +95,7 @@
         turn = (start + 1.0, next(self._order), account)
         heapq.heapreplace(self._turns, turn)
 
-    def drop(self, waiting: Waiting) -> None:
+    def drop(self, waiting: QueuedRequest) -> None:
         """Removes a request from wherever it stands."""
         waiting.alive = False
         self.size -= 1
@@ -105,7 +105,9 @@
         heap = self._accounts.get(account, ())
         return min(self.size, (len(heap) + 1) * len(self._accounts))
 
-    def _find_head(self, account: ids.AccountId, now: float) -> Waiting | None:
+    def _find_head(
+        self, account: ids.AccountId, now: float
+    ) -> QueuedRequest | None:
         heap = self._accounts[account]
         while heap:
             late, due, sequence, waiting = heap[0]
@@ -139,10 +141,10 @@
 
     def __init__(self) -> None:
         self.size = 0
-        self._again: collections.deque[Waiting] = collections.deque()
+        self._again: collections.deque[QueuedRequest] = collections.deque()
         self._classes: dict[messages.ClassKey, ClassQueue] = {}
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedRequest) -> None:
         """Queues the request."""
         self.size += 1
         if waiting.again:
@@ -152,7 +154,7 @@
 
     def find_next(
         self, now: float, only: messages.ClassKey | None = None
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Returns the request to serve next, of one class if `only` is set."""
         if only is not None:
             queue = self._classes.get(only)
@@ -161,15 +163,15 @@
             if self._again[0].alive:
                 return self._again[0]
             self._again.popleft()
-        best: Waiting | None = None
-        best_order: Order = (True, 0.0, 0)
+        best: QueuedRequest | None = None
+        best_order: SortKey = (True, 0.0, 0)
         for waiting in self._list_heads(now):
             order = _rate_order(waiting, now)
             if best is None or order < best_order:
                 best, best_order = waiting, order
         return best
 
-    def take(self, waiting: Waiting) -> None:
+    def take(self, waiting: QueuedRequest) -> None:
         """Removes what `find_next` returned and charges its account."""
         self.size -= 1
         if waiting.again:
@@ -180,7 +182,7 @@
         queue.take_next()
         self._close_class(key, queue)
 
-    def drop(self, waiting: Waiting) -> None:
+    def drop(self, waiting: QueuedRequest) -> None:
         """Removes a request from wherever it stands."""
         self.size -= 1
         if waiting.again:
@@ -202,13 +204,13 @@
         """Returns the classes that have requests waiting."""
         return list(self._classes)
 
-    def _list_heads(self, now: float) -> Iterator[Waiting]:
+    def _list_heads(self, now: float) -> Iterator[QueuedRequest]:
         for queue in self._classes.values():
             head = queue.find_next(now)
             if head is not None:
                 yield head
 
-    def _open_class(self, waiting: Waiting) -> ClassQueue:
+    def _open_class(self, waiting: QueuedRequest) -> ClassQueue:
         key = messages.class_key(waiting.ask)
         queue = self._classes.get(key)
         if queue is None:
@@ -220,6 +222,6 @@
             del self._classes[key]
 
 
-def _rate_order(waiting: Waiting, now: float) -> Order:
+def _rate_order(waiting: QueuedRequest, now: float) -> SortKey:
     due = waiting.ask.first_token_due
     return due <= now, due, waiting.sequence
--- a/pollenfork/admission/shares.py
+++ b/pollenfork/admission/shares.py
@@ -10,7 +10,7 @@
 _LEAST_HOLD_S = 0.05
 
 
-class Place(NamedTuple):
+class WaitingClass(NamedTuple):
     """Where a class waits."""
 
     pool: messages.PoolKey
@@ -29,10 +29,12 @@
     """
 
     def __init__(self) -> None:
-        self._owed: dict[Place, float] = {}
-        self._holds: dict[Place, float] = {}
+        self._owed: dict[WaitingClass, float] = {}
+        self._holds: dict[WaitingClass, float] = {}
 
-    def accrue(self, place: Place, slot_seconds: float, hold_s: float) -> None:
+    def accrue(
+        self, place: WaitingClass, slot_seconds: float, hold_s: float
+    ) -> None:
         """Adds what a waiting class earned, up to a few requests' worth.
 
         Args:
@@ -45,7 +47,7 @@
         self._owed[place] = min(owed, _MOST_REQUESTS * hold_s)
         self._holds[place] = hold_s
 
-    def list_due(self) -> list[Place]:
+    def list_due(self) -> list[WaitingClass]:
         """Returns the classes that are owed a request, the most owed first."""
         due = [
             place
@@ -55,13 +57,13 @@
         due.sort(key=lambda p: self._owed[p] / self._holds[p], reverse=True)
         return due
 
-    def pay(self, place: Place) -> None:
+    def charge(self, place: WaitingClass) -> None:
         """Charges a request that was served, by whichever rule."""
         owed = self._owed.get(place)
         if owed is not None:
             self._owed[place] = max(0.0, owed - self._holds[place])
 
-    def retain(self, places: Iterable[Place]) -> None:
+    def retain(self, places: Iterable[WaitingClass]) -> None:
         """Forgets the classes that no longer wait."""
         kept = set(places)
         self._owed = {p: v for p, v in self._owed.items() if p in kept}
--- a/pollenfork/admission/tests/test_core.py
+++ b/pollenfork/admission/tests/test_core.py
@@ -32,7 +32,7 @@
 
 def drain(queue: core.Admission, now: float = 0.0) -> list[str]:
     served = []
-    for pool, tier in queue.list_places():
+    for pool, tier in queue.list_queues():
         while waiting := queue.find_next(pool, tier, now):
             queue.take(waiting)
             served.append(waiting.ask.request)
@@ -101,7 +101,7 @@
 ) -> None:
     queue = core.Admission(len(waiting))
     fill(queue, *waiting)
-    barrier = queue.find_barrier(ask)
+    barrier = queue.find_refusal(ask)
     if victim is None:
         assert barrier is messages.RefusalReason.QUEUE_FULL
         return
@@ -117,7 +117,7 @@
 def test_work_that_ran_is_never_evicted() -> None:
     queue = core.Admission(1)
     queue.add_again(make_ask("ran", tier=6), (), FAR)
-    barrier = queue.find_barrier(make_ask("x", tier=0))
+    barrier = queue.find_refusal(make_ask("x", tier=0))
     assert barrier is messages.RefusalReason.QUEUE_FULL
 
 
@@ -135,9 +135,9 @@
     queue = core.Admission(100)
     fill(queue, make_ask("a"), make_ask("b"))
     ask = make_ask("c", **limits)
-    assert queue.find_barrier(ask) is reason
+    assert queue.find_refusal(ask) is reason
     queue.withdraw("a")
-    assert queue.find_barrier(ask) is None
+    assert queue.find_refusal(ask) is None
 
 
 @pytest.mark.parametrize(
--- a/pollenfork/decisions.py
+++ b/pollenfork/decisions.py
@@ -38,7 +38,7 @@
         instance: ids.InstanceId,
         rng: random.Random,
         waiting_limit: int,
-        split: sharing.Sharing | None = None,
+        split: sharing.SlotSharing | None = None,
     ) -> None:
         self.counters = budget.Counters()
         self._admission = admission_core.Admission(waiting_limit)
@@ -92,7 +92,7 @@
                 self._note_first(event)
                 return []
             case messages.Progress():
-                self._dispatch.note_progress(event, now)
+                self._dispatch.record_progress(event, now)
                 return []
             case messages.AttemptEnded():
                 self._end(event, now)
@@ -106,13 +106,13 @@
     def _take_news(self, event: Any, now: float) -> None:
         match event:
             case messages.EndpointReport():
-                self._dispatch.note_report(event, now)
+                self._dispatch.record_report(event, now)
             case messages.EndpointNotice():
-                self._dispatch.note_state(event, now)
+                self._dispatch.record_state(event, now)
             case messages.Pressure():
-                self._dispatch.note_pressure(event, now)
+                self._dispatch.record_pressure(event, now)
             case messages.PeerLost():
-                self._dispatch.note_lost(event.instance, now)
+                self._dispatch.record_lost(event.instance, now)
             case settings_messages.TreeInForce():
                 self._dispatch.apply_tree(event.tree, now)
             case _:
@@ -147,7 +147,7 @@
 
     def read_pressure(self, now: float) -> messages.Pressure:
         """Returns what peers should know of this instance."""
-        return self._dispatch.read_pressure(self._admission.list_waits(now))
+        return self._dispatch.make_pressure(self._admission.list_waits(now))
 
     def count_in_flight(self) -> int:
         """Returns the attempts that hold a slot."""
@@ -171,7 +171,7 @@
             return _Reason.NO_ENDPOINT
         if ask.late_refused and not self._dispatch.is_served(pool):
             return _Reason.NO_ENDPOINT
-        return self._admission.find_barrier(ask)
+        return self._admission.find_refusal(ask)
 
     def _queue(self, ask: admission_messages.Ask, now: float) -> None:
         wait = self._outlook.predict_wait(ask, now)
@@ -199,7 +199,7 @@
             return
         self._verdicts.count_retry(again.reason)
         if again.reason is _Retry.CONTINUE_ELSEWHERE:
-            ask = budget.renew(ask, now)
+            ask = budget.renew_deadlines(ask, now)
         expires_at = self._outlook.find_expiry(ask)
         self._admission.add_again(ask, again.avoid, expires_at)
 
@@ -225,18 +225,18 @@
     # The course of attempts.
 
     def _note_first(self, first: messages.FirstToken) -> None:
-        attempt = self._dispatch.note_first(first)
+        attempt = self._dispatch.record_first_token(first)
         if attempt is not None:
-            took = first.at - attempt.granted
-            self._forecast.note_first(attempt.ask, took)
+            took = first.at - attempt.granted_at
+            self._forecast.record_first_token(attempt.ask, took)
 
     def _end(self, ended: messages.AttemptEnded, now: float) -> None:
         attempt = self._dispatch.end(ended, now)
         if attempt is None or ended.how is not messages.AttemptEnd.FINISHED:
             return
-        hold = ended.at - attempt.granted
+        hold = ended.at - attempt.granted_at
         answering = ended.at - (attempt.first_at or ended.at)
-        self._forecast.note_end(attempt.ask, hold, ended.tokens, answering)
+        self._forecast.record_end(attempt.ask, hold, ended.tokens, answering)
 
     def _leave(
         self,
@@ -283,7 +283,7 @@
         return True
 
     def _serve_tiers(self, now: float) -> None:
-        for pool, tier in self._admission.list_places():
+        for pool, tier in self._admission.list_queues():
             while self._serve_next(pool, tier, now):
                 pass
 
@@ -305,7 +305,7 @@
 
     def _serve(
         self,
-        waiting: queues.Waiting,
+        waiting: queues.QueuedRequest,
         rule: dispatch_core.Rule,
         now: float,
     ) -> bool:
@@ -318,23 +318,23 @@
         self._verdicts.add_grant(grant)
         key = admission_messages.class_key(ask)
         pool = admission_messages.pool_key(ask)
-        self._shares.pay(shares.Place(pool, key, ask.tier))
+        self._shares.charge(shares.WaitingClass(pool, key, ask.tier))
         if not waiting.again:
             self._note_first_attempt(ask, now)
             waited = now - ask.arrived
-            self._forecast.note_wait(waiting, waited)
+            self._forecast.record_wait(waiting, waited)
             self._verdicts.count_prediction(waiting.predicted_s, waited)
         return True
 
     def _find_hedge_delay(self, ask: admission_messages.Ask) -> float | None:
         if ask.hedge and ask.idempotent:
-            return self._forecast.expect_first(ask, _HEDGE_PART)
+            return self._forecast.predict_first_token(ask, _HEDGE_PART)
         return None
 
     def _note_first_attempt(
         self, ask: admission_messages.Ask, now: float
     ) -> None:
-        self._forecast.note_grant(ask, now)
+        self._forecast.record_grant(ask, now)
         self._budgets.earn(ask)
         self.counters.first_attempts += 1
 
--- a/pollenfork/dispatch/budget.py
+++ b/pollenfork/dispatch/budget.py
@@ -1,14 +1,14 @@
-"""Retry budgets: what a class may send beyond its requests."""
+"""Retry budgets: how many extra attempts each class may send."""
 
 import msgspec
 
 from pollenfork.admission import messages as admission_messages
 from pollenfork.dispatch import messages
 
-_BURST = 16.0
-_START = 2.0
+_MAX_TOKENS = 16.0
+_INITIAL_TOKENS = 2.0
 
-_MOST_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 
 _Reason = admission_messages.RefusalReason
 
@@ -17,7 +17,7 @@
     messages.RetryReason.CONTINUE_ELSEWHERE,
 )
 
-# Not charged: the first was never sent, the second goes on with an answer
+# Not charged: an attempt that was never sent, and one that continues an answer
 # instead of repeating it.
 _FREE = (
     messages.RetryReason.NEVER_SENT,
@@ -26,19 +26,19 @@
 
 
 class RetryBudgets:
-    """A token bucket for each class, filled by its first attempts."""
+    """One token bucket per class, filled by its first attempts."""
 
     def __init__(self) -> None:
         self._tokens: dict[admission_messages.ClassKey, float] = {}
 
     def earn(self, ask: admission_messages.Ask) -> None:
-        """Adds a first attempt's worth."""
+        """Adds the retry ratio of the class for a first attempt."""
         key = admission_messages.class_key(ask)
-        tokens = self._tokens.get(key, _START) + ask.retry_ratio
-        self._tokens[key] = min(tokens, _BURST)
+        tokens = self._tokens.get(key, _INITIAL_TOKENS) + ask.retry_ratio
+        self._tokens[key] = min(tokens, _MAX_TOKENS)
 
     def spend(self, ask: admission_messages.Ask) -> bool:
-        """Takes one attempt; returns False where the budget has none."""
+        """Spends one token; returns False if the bucket has none."""
         if not self._has_token(ask):
             return False
         self._tokens[admission_messages.class_key(ask)] -= 1.0
@@ -51,12 +51,12 @@
         sent: int,
         now: float,
     ) -> _Reason | None:
-        """Charges a retry, or returns why there is none.
+        """Charges a retry; returns the reason if it is refused.
 
         Args:
             ask: The request.
-            reason: Why it asks.
-            sent: How often it was sent so far.
+            reason: Why the request is retried.
+            sent: The number of attempts sent so far.
             now: Monotonic seconds.
         """
         if reason in _MAY_HAVE_RUN and not ask.idempotent:
@@ -65,14 +65,14 @@
             due = ask.first_token_due if ask.late_refused else ask.give_up_at
             if now >= due:
                 return _Reason.RETRY_TOO_LATE
-        if sent >= _MOST_ATTEMPTS:
+        if sent >= _MAX_ATTEMPTS:
             return _Reason.RETRY_BUDGET
         if reason in _FREE or self.spend(ask):
             return None
         return _Reason.RETRY_BUDGET
 
     def find_hedge_refusal(self, ask: admission_messages.Ask) -> _Reason | None:
-        """Returns why the request may have no hedge, if so."""
+        """Returns why the request may not be hedged; None if it may."""
         if not (ask.hedge and ask.idempotent):
             return _Reason.RETRY_UNSAFE
         return None if self._has_token(ask) else _Reason.RETRY_BUDGET
@@ -81,10 +81,13 @@
         return self._tokens.get(admission_messages.class_key(ask), 0.0) >= 1.0
 
 
-def renew(ask: admission_messages.Ask, now: float) -> admission_messages.Ask:
-    """Returns the ask of an answer that is to be continued.
+def renew_deadlines(
+    ask: admission_messages.Ask, now: float
+) -> admission_messages.Ask:
+    """Returns the ask for continuing an answer elsewhere.
 
-    Its caller has the first token; only the wait is bounded anew.
+    Its caller already has the first token, so only the limit on the wait
+    applies, counted from now.
     """
     return msgspec.structs.replace(
         ask,
@@ -95,16 +98,16 @@
 
 
 class Counters(msgspec.Struct):
-    """What was refused, retried and hedged, by reason; for metrics.
+    """Counts of refusals, retries and hedges by reason, for metrics.
 
     Attributes:
         refusals: By `RefusalReason` value.
-        retries: Granted, by `RetryReason` value.
-        first_attempts: Requests that were sent.
-        attempts: Attempts that were sent, hedges and retries included.
-        ejections: Endpoints taken out as stragglers.
-        predictions: Waits that had been predicted.
-        predictions_right: Of these, within half or half a second.
+        retries: Granted retries by `RetryReason` value.
+        first_attempts: Requests that were sent at least once.
+        attempts: Attempts sent, including retries and hedges.
+        ejections: Ejections of endpoints that were stragglers.
+        predictions: Predicted waits.
+        predictions_right: Of these, correct within half or half a second.
     """
 
     refusals: dict[str, int] = {}
--- a/pollenfork/dispatch/supply.py
+++ b/pollenfork/dispatch/capacity.py
@@ -1,4 +1,4 @@
-"""The endpoints as one instance sees them, and who claims their slots."""
+"""The capacity of all endpoints and the use of their slots."""
 
 from collections.abc import Iterable, Mapping, Sequence
 
@@ -11,33 +11,33 @@
 from pollenfork.dispatch import sharing
 from pollenfork.settings import model
 
-Depths = Mapping[admission_messages.PoolKey, Sequence[int]]
+QueueDepths = Mapping[admission_messages.PoolKey, Sequence[int]]
 
 
-class Supply:
-    """Endpoints, pools of them, and the claims of this instance and peers.
+class Capacity:
+    """Endpoints, their pools, and the slots used by this instance and peers.
 
-    Every number is kept up to date by increments, so that a decision costs
-    the same whatever the number of endpoints.
+    All numbers are updated incrementally, so that the cost of a decision
+    doesn't depend on the number of endpoints.
     """
 
-    def __init__(self, depths: Depths) -> None:
+    def __init__(self, depths: QueueDepths) -> None:
         self.endpoints: dict[ids.EndpointId, endpoints.Endpoint] = {}
-        self._depths = depths
+        self._queue_depths = depths
         self._services: Mapping[ids.ServiceName, model.ServiceSettings] = {}
         self._pools: dict[admission_messages.PoolKey, pools.Pool] = {}
         self._pools_of: dict[ids.EndpointId, list[pools.Pool]] = {}
-        self._counted: dict[ids.EndpointId, float] = {}
-        self._unseen: dict[ids.EndpointId, int] = {}
+        self._capacities: dict[ids.EndpointId, float] = {}
+        self._unattributed: dict[ids.EndpointId, int] = {}
         self._in_flight: dict[tuple[ids.EndpointId, ids.Tier], int] = {}
         self._peers = peers.Peers()
 
     def find_pool(self, key: admission_messages.PoolKey) -> pools.Pool | None:
-        """Returns the pool, or None where the settings name no endpoint."""
+        """Returns the pool; None if the settings list no endpoint for it."""
         return self._pools.get(key)
 
     def apply_tree(self, tree: model.Tree, now: float) -> None:
-        """Takes a settings tree that came into force."""
+        """Applies a settings tree."""
         kept = {}
         for name, settings in tree.root.endpoints.items():
             known = self.endpoints.get(name)
@@ -49,81 +49,87 @@
         self._services = tree.root.services
         self._rebuild(now)
 
-    def note_state(self, notice: messages.EndpointNotice, now: float) -> None:
-        """Takes an endpoint's state."""
+    def record_state(self, notice: messages.EndpointNotice, now: float) -> None:
+        """Updates an endpoint's state."""
         known = self.endpoints.get(notice.endpoint)
         if known is not None:
-            known.note_state(notice.state, now)
+            known.record_state(notice.state, now)
             self.refresh(known, now)
 
-    def note_report(self, report: messages.EndpointReport, now: float) -> None:
-        """Takes an endpoint's own load report."""
+    def record_report(
+        self, report: messages.EndpointReport, now: float
+    ) -> None:
+        """Applies an endpoint's own load report."""
         known = self.endpoints.get(report.endpoint)
         if known is None:
             return
         loaded = known.loaded
-        known.note_report(report)
+        known.record_report(report)
         if known.loaded != loaded:
             self._rebuild(now)
         self.refresh(known, now)
 
-    def note_pressure(self, pressure: messages.Pressure, now: float) -> None:
-        """Takes a peer's pressure in place of its earlier one."""
+    def record_pressure(self, pressure: messages.Pressure, now: float) -> None:
+        """Replaces a peer's pressure with a newer one."""
         earlier = self._peers.find(pressure.instance)
         if earlier is not None:
             self._count_peer(earlier, -1, now)
         count = self._peers.count()
         was_cut_off = self._peers.is_cut_off()
-        heard = self._peers.note(pressure, now)
+        heard = self._peers.record(pressure, now)
         if was_cut_off or self._peers.count() != count:
             self._rebuild(now)
         else:
             self._count_peer(heard, 1, now)
 
-    def note_lost(self, instance: ids.InstanceId, now: float) -> None:
-        """Takes a peer's loss: its queue is void, its slots stay a while."""
-        self._peers.note_lost(instance, now)
+    def record_lost(self, instance: ids.InstanceId, now: float) -> None:
+        """Marks a peer as lost: drops its queue, keeps its slots a while."""
+        self._peers.record_lost(instance, now)
         self._rebuild(now)
 
     def tick(self, now: float) -> None:
-        """Lets time pass: silent peers, returning endpoints."""
+        """Expires silent peers and readmits returning endpoints."""
         if self._peers.expire(now):
             self._rebuild(now)
         for known in self.endpoints.values():
             self.refresh(known, now)
 
-    def read_claims(self, pool: pools.Pool) -> sharing.Claims:
-        """Returns who wants and holds the slots behind a pool."""
+    def get_slot_usage(self, pool: pools.Pool) -> sharing.SlotUsage:
+        """Returns the use of the slots behind a pool."""
         cluster = pool.cluster
-        claims = cluster.claims
+        usage = cluster.usage
         if len(cluster.pools) == 1:
-            claims.own_waiting = self._depths.get(pool.key, pools.NOTHING)
-            return claims
+            usage.own_waiting = self._queue_depths.get(
+                pool.key, pools.NO_REQUESTS
+            )
+            return usage
         waiting = [0] * model.TIER_COUNT
         for linked in cluster.pools:
-            for tier, count in enumerate(self._depths.get(linked.key, ())):
+            for tier, count in enumerate(
+                self._queue_depths.get(linked.key, ())
+            ):
                 waiting[tier] += count
-        claims.own_waiting = waiting
-        return claims
+        usage.own_waiting = waiting
+        return usage
 
-    def count_in(
+    def add_attempt(
         self, known: endpoints.Endpoint, tier: ids.Tier, now: float
     ) -> None:
-        """Counts an attempt of this instance in."""
-        known.note_sent()
+        """Adds an attempt of this instance."""
+        known.record_sent()
         self._count_own(known, tier, 1)
         self.refresh(known, now)
 
-    def count_out(
+    def remove_attempt(
         self, known: endpoints.Endpoint, tier: ids.Tier, now: float
     ) -> None:
-        """Counts an attempt of this instance out."""
-        known.note_ended()
+        """Removes an attempt of this instance."""
+        known.record_ended()
         self._count_own(known, tier, -1)
         self.refresh(known, now)
 
     def refresh(self, known: endpoints.Endpoint, now: float) -> None:
-        """Brings what is derived from one endpoint's state up to date."""
+        """Updates everything derived from an endpoint's state."""
         linked = self._pools_of.get(known.name)
         if not linked:
             return
@@ -131,22 +137,22 @@
         found = known.assess(now)
         for pool in linked:
             pool.set_open(known, found.has_room)
-        claims = linked[0].cluster.claims
-        claims.capacity += found.capacity - self._counted[name]
-        claims.unseen += found.unseen - self._unseen[name]
-        self._counted[name] = found.capacity
-        self._unseen[name] = found.unseen
+        usage = linked[0].cluster.usage
+        usage.capacity += found.capacity - self._capacities[name]
+        usage.unattributed += found.unattributed - self._unattributed[name]
+        self._capacities[name] = found.capacity
+        self._unattributed[name] = found.unattributed
 
-    def read_pressure(
+    def make_pressure(
         self,
         instance: ids.InstanceId,
         waits: Mapping[tuple[admission_messages.PoolKey, ids.Tier], float],
     ) -> messages.Pressure:
-        """Returns what peers should know of this instance.
+        """Returns the pressure to report to peers.
 
         Args:
             instance: This instance.
-            waits: Seconds that the next request waits, by pool and tier.
+            waits: Seconds that the next request has waited, by pool and tier.
         """
         demands = tuple(
             messages.Demand(
@@ -155,7 +161,7 @@
                 count,
                 round(waits.get((pool, ids.Tier(tier)), 0.0) * 1000),
             )
-            for pool, depths in self._depths.items()
+            for pool, depths in self._queue_depths.items()
             for tier, count in enumerate(depths)
             if count
         )
@@ -181,9 +187,9 @@
             del self._in_flight[key]
         linked = self._pools_of.get(known.name)
         if linked:
-            claims = linked[0].cluster.claims
-            claims.own_in_flight[tier] += amount
-            claims.own_held += amount
+            usage = linked[0].cluster.usage
+            usage.own_in_flight[tier] += amount
+            usage.own_held += amount
 
     def _count_peer(self, peer: peers.Peer, sign: int, now: float) -> None:
         pressure = peer.pressure
@@ -194,7 +200,7 @@
         for name in pressure.leaving:
             known = self.endpoints.get(name)
             if known is not None:
-                known.left_by_peers += sign
+                known.leaving_peers += sign
                 self.refresh(known, now)
 
     def _count_demands(
@@ -203,7 +209,7 @@
         for demand in demands:
             pool = self._pools.get(admission_messages.PoolKey(demand.model))
             if pool is not None:
-                waiting = pool.cluster.claims.peer_waiting
+                waiting = pool.cluster.usage.peer_waiting
                 waiting[demand.tier] += sign * demand.waiting
 
     def _count_occupancies(
@@ -213,26 +219,26 @@
             known = self.endpoints.get(held.endpoint)
             if known is None:
                 continue
-            known.peers += sign * held.in_flight
+            known.peer_attempts += sign * held.in_flight
             linked = self._pools_of.get(known.name)
             if linked:
-                claims = linked[0].cluster.claims
-                claims.peer_in_flight[held.tier] += sign * held.in_flight
-                claims.peer_held += sign * held.in_flight
+                usage = linked[0].cluster.usage
+                usage.peer_in_flight[held.tier] += sign * held.in_flight
+                usage.peer_held += sign * held.in_flight
             self.refresh(known, now)
 
     def _rebuild(self, now: float) -> None:
-        """Derives everything anew; for rare changes only."""
+        """Recomputes everything; only for rare changes."""
         self._rebuild_pools()
         for known in self.endpoints.values():
-            known.peers = 0
-            known.left_by_peers = 0
+            known.peer_attempts = 0
+            known.leaving_peers = 0
         for (name, tier), count in self._in_flight.items():
             linked = self._pools_of.get(name)
             if linked:
-                claims = linked[0].cluster.claims
-                claims.own_in_flight[tier] += count
-                claims.own_held += count
+                usage = linked[0].cluster.usage
+                usage.own_in_flight[tier] += count
+                usage.own_held += count
         for peer in self._peers.list_all():
             self._count_peer(peer, 1, now)
         for known in self.endpoints.values():
@@ -241,23 +247,23 @@
     def _rebuild_pools(self) -> None:
         self._pools = {}
         self._pools_of = {}
-        self._counted = dict.fromkeys(self.endpoints, 0.0)
-        self._unseen = dict.fromkeys(self.endpoints, 0)
+        self._capacities = dict.fromkeys(self.endpoints, 0.0)
+        self._unattributed = dict.fromkeys(self.endpoints, 0)
         for known in self.endpoints.values():
             for key in known.list_pools():
-                self._join(key, known)
+                self._add_to_pool(key, known)
         for name, service in self._services.items():
             for member in service.endpoints:
                 if member in self.endpoints:
                     key = admission_messages.service_key(name)
-                    self._join(key, self.endpoints[member])
+                    self._add_to_pool(key, self.endpoints[member])
         pools.link(list(self._pools.values()))
         for pool in self._pools.values():
-            claims = pool.cluster.claims
-            claims.instances = 1 + self._peers.count()
-            claims.is_cut_off = self._peers.is_cut_off()
+            usage = pool.cluster.usage
+            usage.instances = 1 + self._peers.count()
+            usage.is_cut_off = self._peers.is_cut_off()
 
-    def _join(
+    def _add_to_pool(
         self, key: admission_messages.PoolKey, known: endpoints.Endpoint
     ) -> None:
         pool = self._pools.get(key)
--- a/pollenfork/dispatch/limits.py
+++ b/pollenfork/dispatch/limits.py
@@ -1,48 +1,48 @@
-"""The adaptive concurrency limit of one endpoint."""
+"""The adaptive concurrency limit of an endpoint."""
 
 _DECREASE = 0.8
 _INCREASE = 0.5
-_LEAST = 1.0
-_CUT_PERIOD_S = 2.0
-_SLOW_START_S = 8.0
+_MIN_LIMIT = 1.0
+_DECREASE_INTERVAL_S = 2.0
+_RAMP_S = 8.0
 
 
 class ConcurrencyLimit:
-    """Additive increase, multiplicative decrease, below the planned slots.
+    """An AIMD limit that never exceeds the configured slots.
 
-    The signal is how an attempt's latency compares with its class's target:
-    1.0 means that the target was just met.
+    The signal is the ratio of an attempt's latency to its class's target: at
+    1.0 the target was just met.
     """
 
     def __init__(self, slots: int) -> None:
         self._slots = float(slots)
         self._value = float(slots)
-        self._cut_at = float("-inf")
-        self._ramp_from: float | None = None
+        self._decreased_at = float("-inf")
+        self._ramp_start: float | None = None
 
     def resize(self, slots: int) -> None:
-        """Takes a new number of planned slots."""
+        """Scales the limit to a new number of configured slots."""
         self._value *= slots / self._slots
         self._slots = float(slots)
 
-    def note(self, ratio: float, now: float) -> None:
-        """Takes one attempt's latency as a multiple of its target."""
+    def record(self, ratio: float, now: float) -> None:
+        """Records an attempt's latency as a multiple of its target."""
         if ratio <= 1.0:
             self._value = min(self._slots, self._value + _INCREASE)
-        elif now - self._cut_at >= _CUT_PERIOD_S:
-            self._value = max(_LEAST, self._value * _DECREASE)
-            self._cut_at = now
+        elif now - self._decreased_at >= _DECREASE_INTERVAL_S:
+            self._value = max(_MIN_LIMIT, self._value * _DECREASE)
+            self._decreased_at = now
 
-    def start_slowly(self, now: float) -> None:
-        """Lets the limit grow from one again: the endpoint is back."""
-        self._ramp_from = now
+    def start_slow(self, now: float) -> None:
+        """Ramps the limit up from one after the endpoint returned."""
+        self._ramp_start = now
 
-    def read(self, now: float) -> float:
-        """Returns how many attempts the endpoint should hold."""
-        if self._ramp_from is None:
+    def get(self, now: float) -> float:
+        """Returns how many attempts the endpoint should hold at most."""
+        if self._ramp_start is None:
             return self._value
-        part = (now - self._ramp_from) / _SLOW_START_S
+        part = (now - self._ramp_start) / _RAMP_S
         if part >= 1.0:
-            self._ramp_from = None
+            self._ramp_start = None
             return self._value
-        return max(_LEAST, self._value * part)
+        return max(_MIN_LIMIT, self._value * part)
--- a/pollenfork/dispatch/messages.py
+++ b/pollenfork/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""What other slices say to dispatch and hear from it."""
+"""Messages between dispatch and other packages."""
 
 import enum
 
@@ -8,13 +8,14 @@
 
 
 class Grant(msgspec.Struct, frozen=True, kw_only=True):
-    """Leave to send one attempt of a request to one endpoint.
+    """Permission to send one attempt of a request to an endpoint.
 
     Attributes:
         address: `host:port` of the endpoint.
-        priority: For the engine's own queue; lower runs earlier.
-        hedge_after_s: Without a first token by then, ask for a second copy
-            (`RetryReason.HEDGE`); None where the class pays for no hedges.
+        priority: The priority in the engine's queue; lower runs earlier.
+        hedge_after_s: The delay after which a hedge is requested
+            (`RetryReason.HEDGE`) if no first token has arrived; None if the
+            class doesn't use hedges.
     """
 
     request: ids.RequestId
@@ -33,13 +34,13 @@
 
 
 class Progress(msgspec.Struct, frozen=True, kw_only=True):
-    """The attempt has generated `tokens` so far.
+    """The number of tokens that an attempt has generated so far.
 
-    Sent about every two seconds of an answer, so that a slow endpoint shows
-    before its long answers end.
+    Sent about every two seconds during an answer, so that a slow endpoint is
+    detected before its long answers end.
 
     Attributes:
-        tokens: Since the attempt's start, as far as seen.
+        tokens: Tokens seen since the attempt's start.
         at: Monotonic seconds.
     """
 
@@ -61,10 +62,10 @@
 
 
 class AttemptEnded(msgspec.Struct, frozen=True, kw_only=True):
-    """The attempt holds its slot no longer.
+    """The attempt has ended and no longer holds its slot.
 
     Attributes:
-        tokens: Tokens the endpoint generated, as far as seen.
+        tokens: Tokens seen from the endpoint.
         at: Monotonic seconds.
     """
 
@@ -75,7 +76,7 @@
 
 
 class RetryReason(enum.Enum):
-    """Why a request asks for another attempt; each has its counter."""
+    """Why a request needs another attempt; each reason has a counter."""
 
     REFUSED_BY_ENDPOINT = "refused_by_endpoint"
     NEVER_SENT = "never_sent"
@@ -85,10 +86,10 @@
 
 
 class AskAgain(msgspec.Struct, frozen=True, kw_only=True):
-    """An admitted request asks for another endpoint, ahead of its class.
+    """An admitted request needs another endpoint, ahead of its class.
 
     Attributes:
-        avoid: Endpoints that failed it already.
+        avoid: Endpoints that have already failed the request.
     """
 
     request: ids.RequestId
@@ -97,20 +98,20 @@
 
 
 class RequestClosed(msgspec.Struct, frozen=True, kw_only=True):
-    """The caller has its last byte, or is gone: forget the request."""
+    """The answer was delivered or the caller left: forget the request."""
 
     request: ids.RequestId
 
 
 class EndpointReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An endpoint's own load report, which lags.
+    """An endpoint's own load report, which is delayed.
 
     Attributes:
         running: Requests in its batch.
         waiting: Requests in its queue.
-        kv_free: Free part of its KV memory, 0 to 1.
-        measured_at: Monotonic seconds of this instance, after subtracting
-            the age that the report states.
+        kv_free: The free fraction of its KV memory, 0 to 1.
+        measured_at: When it was measured, in this instance's monotonic seconds,
+            after subtracting the report's stated age.
     """
 
     endpoint: ids.EndpointId
@@ -122,7 +123,7 @@
 
 
 class EndpointState(enum.Enum):
-    """Whether new work may go to an endpoint."""
+    """Whether an endpoint accepts new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -130,14 +131,14 @@
 
 
 class EndpointNotice(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of an endpoint as first heard from anyone."""
+    """A change of an endpoint's state, from whichever source is first."""
 
     endpoint: ids.EndpointId
     state: EndpointState
 
 
 class Demand(msgspec.Struct, frozen=True, array_like=True):
-    """Requests waiting at one instance for one model in one tier."""
+    """The number of requests waiting at an instance, by model and tier."""
 
     model: ids.ModelName
     tier: ids.Tier
@@ -146,7 +147,7 @@
 
 
 class Occupancy(msgspec.Struct, frozen=True, array_like=True):
-    """Slots of one endpoint that one instance holds in one tier."""
+    """The number of an endpoint's slots held by an instance in a tier."""
 
     endpoint: ids.EndpointId
     tier: ids.Tier
@@ -154,10 +155,10 @@
 
 
 class Pressure(msgspec.Struct, frozen=True, array_like=True):
-    """What one instance tells its peers of its queues and slots.
+    """An instance's report to its peers about its queues and slots.
 
-    It travels as MessagePack inside the peers' heartbeats and replaces the
-    instance's earlier one.
+    It is sent as MessagePack inside the heartbeats and replaces the instance's
+    previous report.
     """
 
     instance: ids.InstanceId
@@ -167,6 +168,6 @@
 
 
 class PeerLost(msgspec.Struct, frozen=True):
-    """A peer is gone: its pressure no longer counts."""
+    """A peer is lost, so its pressure no longer counts."""
 
     instance: ids.InstanceId
--- a/pollenfork/dispatch/pools.py
+++ b/pollenfork/dispatch/pools.py
@@ -1,4 +1,4 @@
-"""Which endpoints serve what, and which of them have room now."""
+"""Pools of endpoints by model or service, and which have free slots."""
 
 import random
 
@@ -11,26 +11,26 @@
 from pollenfork.settings import model
 
 _SAMPLES = 3
-_HOMES = 2
+_PREFERRED = 2
 _CACHED_PREFIXES = 4096
 _SEED_MASK = (1 << 64) - 1
 
-NOTHING = (0,) * model.TIER_COUNT
+NO_REQUESTS = (0,) * model.TIER_COUNT
 
 
 class Cluster:
-    """Endpoints linked by common models, whose slots are split as one.
+    """Pools linked by common endpoints, whose slots are split together.
 
     Attributes:
-        claims: Who wants and holds its slots; kept up to date in place.
-        pools: The pools whose endpoints it joins.
+        usage: The slots that are wanted and held, updated in place.
+        pools: The linked pools.
     """
 
     def __init__(self) -> None:
         self.pools: list[Pool] = []
-        self.claims = sharing.Claims(
+        self.usage = sharing.SlotUsage(
             capacity=0.0,
-            own_waiting=NOTHING,
+            own_waiting=NO_REQUESTS,
             own_in_flight=[0] * model.TIER_COUNT,
             peer_waiting=[0] * model.TIER_COUNT,
             peer_in_flight=[0] * model.TIER_COUNT,
@@ -47,14 +47,14 @@
         self.members: list[endpoints.Endpoint] = []
         self.open: list[endpoints.Endpoint] = []
         self._open_at: dict[ids.EndpointId, int] = {}
-        self._homes: dict[int, list[endpoints.Endpoint]] = {}
+        self._preferred: dict[int, list[endpoints.Endpoint]] = {}
 
     def add(self, member: endpoints.Endpoint) -> None:
-        """Adds an endpoint, not open yet."""
+        """Adds an endpoint without marking it as open."""
         self.members.append(member)
 
     def set_open(self, member: endpoints.Endpoint, is_open: bool) -> None:
-        """Notes whether the endpoint has room; constant time."""
+        """Sets whether an endpoint has a free slot, in constant time."""
         at = self._open_at.get(member.name)
         if is_open and at is None:
             self._open_at[member.name] = len(self.open)
@@ -67,27 +67,27 @@
                 self._open_at[last.name] = at
 
     def is_open(self, member: endpoints.Endpoint) -> bool:
-        """Returns whether the endpoint has room."""
+        """Returns whether an endpoint has a free slot."""
         return member.name in self._open_at
 
     def sample_open(
         self, rng: random.Random, avoid: tuple[ids.EndpointId, ...]
     ) -> list[endpoints.Endpoint]:
-        """Returns a few endpoints with room, at random."""
+        """Returns a random sample of the endpoints with free slots."""
         found = _sample(self.open, rng)
         if not avoid:
             return found
         allowed = [e for e in found if e.name not in avoid]
         return allowed or [e for e in self.open if e.name not in avoid]
 
-    def find_homes(self, prefix: int) -> list[endpoints.Endpoint]:
-        """Returns where prompts with this prefix go, by rendezvous hashing."""
-        homes = self._homes.get(prefix)
-        if homes is None:
-            if len(self._homes) >= _CACHED_PREFIXES:
-                self._homes.clear()
-            homes = self._homes[prefix] = self._rank(prefix)
-        return homes
+    def find_preferred(self, prefix: int) -> list[endpoints.Endpoint]:
+        """Returns a prefix's preferred endpoints, by rendezvous hashing."""
+        preferred = self._preferred.get(prefix)
+        if preferred is None:
+            if len(self._preferred) >= _CACHED_PREFIXES:
+                self._preferred.clear()
+            preferred = self._preferred[prefix] = self._rank(prefix)
+        return preferred
 
     def _rank(self, prefix: int) -> list[endpoints.Endpoint]:
         seed = prefix & _SEED_MASK
@@ -96,7 +96,7 @@
             key=lambda e: xxhash.xxh3_64_intdigest(e.name.encode(), seed),
             reverse=True,
         )
-        return ranked[:_HOMES]
+        return ranked[:_PREFERRED]
 
 
 def _sample(
@@ -105,7 +105,7 @@
     count = len(members)
     if count <= _SAMPLES:
         return list(members)
-    # The distances stay apart, so the samples differ.
+    # Evenly spaced indices from a random start are distinct.
     start = int(rng.random() * count)
     return [
         members[(start + n * count // _SAMPLES) % count]
@@ -114,7 +114,7 @@
 
 
 def link(pools: list[Pool]) -> None:
-    """Gives pools that share an endpoint the same cluster."""
+    """Assigns pools that share an endpoint to the same cluster."""
     by_endpoint: dict[ids.EndpointId, Cluster] = {}
     for pool in pools:
         cluster = Cluster()
--- a/pollenfork/dispatch/tests/test_affinity.py
+++ b/pollenfork/dispatch/tests/test_affinity.py
@@ -1,4 +1,8 @@
-"""Prefix affinity of several instances that don't hear each other yet."""
+"""Prefix affinity of instances that don't know each other's load yet.
+
+Guards against overloading the preferred endpoints of a few prefixes when many
+instances send a burst to them before they exchange pressure.
+"""
 
 import collections
 import random
@@ -31,16 +35,16 @@
     }
     tree = model.Tree(root=model.RootSettings(endpoints=endpoints))
     event = settings_messages.TreeInForce(tree, snapshot.Snapshot(tree))
-    made = [
+    instances = [
         decisions.Decisions(ids.InstanceId(f"entry-{n}"), random.Random(n), 256)
         for n in range(count)
     ]
-    for one in made:
-        one.report(event, 0.0)
-        for peer in made:
-            if peer is not one:
-                one.report(peer.read_pressure(0.0), 0.0)
-    return made
+    for instance in instances:
+        instance.report(event, 0.0)
+        for peer in instances:
+            if peer is not instance:
+                instance.report(peer.read_pressure(0.0), 0.0)
+    return instances
 
 
 def make_ask(number: int, prefix: int) -> admission_messages.Ask:
@@ -61,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize(("count", "most"), [(1, SLOTS), (6, 1.5 * SLOTS)])
-def test_burst_of_few_prefixes_is_not_heaped_on_their_homes(
+def test_burst_of_few_prefixes_does_not_overload_preferred_endpoints(
     count: int, most: float, seed: int
 ) -> None:
     instances = make_instances(count)
--- a/pollenfork/dispatch/tests/test_budget.py
+++ b/pollenfork/dispatch/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""What a class's budget allows when an endpoint breaks off many at once."""
+"""Retry budgets when an endpoint breaks many attempts at once."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 from pollenfork.dispatch import budget
 from pollenfork.dispatch import messages
 
-SLOTS = 16  # Of an endpoint, unless the settings say otherwise.
+SLOTS = 16  # The default number of slots of an endpoint.
 RATIO = 0.1
 
 _Reason = admission_messages.RefusalReason
@@ -33,7 +33,7 @@
 
 
 def count_retries(budgets: budget.RetryBudgets, asked: int) -> int:
-    """Returns how many requests get a second attempt when all break off."""
+    """Returns how many of the requests get a second attempt."""
     reason = _Retry.BROKEN_BEFORE_FIRST
     refusals = [
         budgets.charge(make_ask(f"q{n}"), reason, 1, 1.0) for n in range(asked)
@@ -54,16 +54,24 @@
     [
         (1, 2),
         (SLOTS, 3),
-        (9 * SLOTS, SLOTS),  # All engines full of the class, one crashes.
-        (10_000, SLOTS),  # A long quiet time buys no more than one engine.
+        (
+            9 * SLOTS,
+            SLOTS,
+        ),  # All engines are full of the class, and one crashes.
+        (
+            10_000,
+            SLOTS,
+        ),  # A long period without retries covers no more than one engine.
     ],
 )
-def test_full_engine_may_crash_once(first_attempts: int, granted: int) -> None:
+def test_budget_covers_the_crash_of_one_full_engine(
+    first_attempts: int, granted: int
+) -> None:
     budgets = make_budgets(first_attempts)
     assert count_retries(budgets, 2 * SLOTS) == granted
 
 
-def test_every_attempt_breaking_off_stays_within_the_ratio() -> None:
+def test_retries_stay_within_the_ratio_if_every_attempt_breaks() -> None:
     budgets = make_budgets(0)
     retries = 0
     for n in range(1000):
--- a/pollenfork/outlook.py
+++ b/pollenfork/outlook.py
@@ -35,7 +35,7 @@
     ) -> forecast.Wait:
         """Returns the wait that a request has before it now."""
         pool = admission_messages.pool_key(ask)
-        claims = self._dispatch.read_claims(pool)
+        claims = self._dispatch.get_slot_usage(pool)
         if claims is None:
             return forecast.Wait(0.0, 1.0)
         in_flight = [
@@ -44,7 +44,7 @@
                 claims.own_in_flight, claims.peer_in_flight, strict=True
             )
         ]
-        supply = forecast.Supply(
+        supply = forecast.PoolLoad(
             self._dispatch.count_free(pool, ask.tier),
             in_flight,
             claims.own_waiting,
@@ -58,19 +58,19 @@
         self, ask: admission_messages.Ask, wait: forecast.Wait, now: float
     ) -> bool:
         """Returns whether a target can't be met any more."""
-        first = self._forecast.expect_first(ask, _TYPICAL)
+        first = self._forecast.predict_first_token(ask, _TYPICAL)
         if wait.is_longer_than(ask.first_token_due - now - first):
             return True
         if ask.answer_due is None:
             return False
-        answer = self._forecast.expect_answer(ask, _TYPICAL)
+        answer = self._forecast.predict_answer(ask, _TYPICAL)
         return wait.is_longer_than(ask.answer_due - now - answer)
 
     def find_expiry(self, ask: admission_messages.Ask) -> float:
         """Returns when a waiting request is given up (monotonic seconds)."""
         if not ask.late_refused:
             return ask.give_up_at
-        first = self._forecast.expect_first(ask, _TYPICAL)
+        first = self._forecast.predict_first_token(ask, _TYPICAL)
         return min(ask.give_up_at, ask.first_token_due - first)
 
     def predict_return(
@@ -93,7 +93,7 @@
         if reason in (_Reason.ACCOUNT_LIMIT, _Reason.TEAM_LIMIT):
             pool = admission_messages.pool_key(ask)
             key = admission_messages.class_key(ask)
-            hold = self._forecast.expect_hold(key, pool, ask.tier)
+            hold = self._forecast.predict_hold(key, pool, ask.tier)
             return hold / ask.account_limit
         target = ask.first_token_due - ask.arrived
         return self.predict_wait(ask, now).seconds - target
