--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -49,15 +49,15 @@
 
     def record_placements(self, placed: Iterable[messages.Placement]) -> None:
         """Takes what others have placed."""
-        self._chooser.caches.take(placed)
+        self._chooser.caches.apply(placed)
 
     def list_placements(self) -> list[messages.Placement]:
         """Returns all that runners are believed to keep."""
-        return self._chooser.caches.list_kept()
+        return self._chooser.caches.list_cached()
 
     def list_local_placements(self) -> list[messages.Placement]:
         """Returns what runners of this data centre are believed to keep."""
-        return self._chooser.list_kept_in(self._data_centre)
+        return self._chooser.list_cached_in(self._data_centre)
 
     def read_store_status(self, now: float) -> messages.StoreStatus | None:
         """Returns what it knows of the store, and how old that may be."""
@@ -85,7 +85,7 @@
 
     def record_finding(self, finding: messages.Finding, now: float) -> None:
         """Takes what another one has found out of a runner."""
-        self._evidence.take(finding, now)
+        self._evidence.receive(finding, now)
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
         """Returns news of requests that runners ended under, if any."""
--- a/pollenfork/loads/links.py
+++ b/pollenfork/loads/links.py
@@ -76,8 +76,8 @@
             if known is not None:
                 load = messages.Load(
                     known.active + load.active,
-                    known.reading + load.reading,
-                    known.quick + load.quick,
+                    known.pending_tokens + load.pending_tokens,
+                    known.top_tier + load.top_tier,
                 )
             total[runner] = load
     return total
@@ -95,8 +95,8 @@
             continue
         rest[runner] = messages.Load(
             known.active - load.active,
-            known.reading - load.reading,
-            known.quick - load.quick,
+            known.pending_tokens - load.pending_tokens,
+            known.top_tier - load.top_tier,
         )
     return rest
 
--- a/pollenfork/loads/messages.py
+++ b/pollenfork/loads/messages.py
@@ -22,14 +22,14 @@
 
     Attributes:
         active: Requests sent to it that have not ended.
-        reading: Their prompt tokens that it has yet to process.
-        quick: Those of the requests that are of their service's most urgent
+        pending_tokens: Their prompt tokens that it has yet to process.
+        top_tier: Those of the requests that are of their service's most urgent
             tier.
     """
 
     active: int = 0
-    reading: int = 0
-    quick: int = 0
+    pending_tokens: int = 0
+    top_tier: int = 0
 
 
 # Loads by a hash of the runner's id: an id is three times as long as a load.
--- a/pollenfork/poison/detector.py
+++ b/pollenfork/poison/detector.py
@@ -121,9 +121,9 @@
         known = self._runners.find(runner.id)
         if known is None or known.leaving or runner.leaving:
             return  # It may have ended as planned.
-        if self._runners.read_kept_until(runner.id) is not None:
+        if self._runners.get_kept_until(runner.id) is not None:
             return
-        runner_hash = evidence.mark(runner)
+        runner_hash = evidence.hash_runner(runner)
         waiting = self._broken.setdefault(runner_hash, [])
         # A runner may break connections for hours without crashing.
         waiting[:] = [
@@ -326,7 +326,7 @@
         for runner in live.values():
             known = self._hashes.get(runner.id)
             if known is None or known[0] is not runner:
-                self._hashes[runner.id] = runner, evidence.mark(runner)
+                self._hashes[runner.id] = runner, evidence.hash_runner(runner)
 
     def _find_runner(self, runner_hash: int) -> model.Runner | None:
         """Returns the registered runner with a hash; None if there is none."""
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -139,7 +139,9 @@
         self, runner: model.Runner, now: float
     ) -> None:
         """Records that a new connection to a runner was dropped at once."""
-        self._detector.record_ended(evidence.mark(runner), now, "dropped")
+        self._detector.record_ended(
+            evidence.hash_runner(runner), now, "dropped"
+        )
 
     def list_quarantined(self) -> list[crashes.CrashHistory]:
         """Returns the requests that are quarantined."""
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -6,10 +6,10 @@
 import random
 
 from pollenfork import ids
+from pollenfork.fleet import candidates
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import model
-from pollenfork.fleet import offers
 from pollenfork.fleet import outcomes
 from pollenfork.fleet import registry
 from pollenfork.loads import core
@@ -43,7 +43,7 @@
         self.quarantine = quarantine.Quarantine(
             self.runners,
             self.host,
-            lambda runner, at: self.chooser.find_standing(runner).lives_since(
+            lambda runner, at: self.chooser.get_state(runner).is_alive_since(
                 at
             ),
             lambda: fleet.now,
@@ -208,10 +208,10 @@
 
         def finish() -> None:
             if runner.id in self.down:
-                runner_hash = evidence.mark(runner)
+                runner_hash = evidence.hash_runner(runner)
                 instance.quarantine.record_absence(runner_hash, here=True)
             else:
-                seen = instance.chooser.find_standing(runner.id)
+                seen = instance.chooser.get_state(runner.id)
                 seen.reached_at = started_at
 
         self.call_in(self.connect_s, finish)
@@ -238,7 +238,7 @@
             return
         request = ids.RequestDigest(digest)
         grant = instance.chooser.choose(
-            offers.Demand(SERVICE),
+            candidates.RequestProfile(SERVICE),
             set(),
             self.now,
             None,
@@ -293,7 +293,7 @@
         self._last_crash_at[name] = self.now
         running = self._running.pop(name, [])
         self.crashes.append((self.now, [each[1] for each in running]))
-        runner_hash = evidence.mark(self.runners[name])
+        runner_hash = evidence.hash_runner(self.runners[name])
         for instance, digest, grant, sent_at in running:
             self._break_connection(instance, digest, grant, sent_at)
             self.call_in(
@@ -350,8 +350,8 @@
             return
         if name in self.down:
             instance.chooser.settle(grant)
-            grant.standing.shunned_until = self.now + 0.8
-            runner_hash = evidence.mark(grant.runner)
+            grant.state.avoid_until = self.now + 0.8
+            runner_hash = evidence.hash_runner(grant.runner)
             instance.quarantine.record_absence(runner_hash, here=True)
             return
         self.sent.setdefault(digest, []).append(self.now)
@@ -370,7 +370,7 @@
         instance.chooser.settle(grant)
         if instance.alive:
             instance.idle_connections[name] = self.now
-            grant.standing.answered_at = self.now
+            grant.state.answered_at = self.now
             self.answered[digest] = self.answered.get(digest, 0) + 1
             self.answered_at.setdefault(digest, []).append(self.now)
             instance.quarantine.record_answer(
--- a/pollenfork/poison/tests/test_detector.py
+++ b/pollenfork/poison/tests/test_detector.py
@@ -39,5 +39,5 @@
     (runner,) = runners.list_all()
     made.record_broken_connection(DIGEST, runner, 9.0, 10.0)
     made.record_broken_connection(DIGEST, runner, 19.0, 20.0)
-    made.record_ended(fleets.evidence.mark(runner), 20.1, "nobody_there")
+    made.record_ended(fleets.evidence.hash_runner(runner), 20.1, "nobody_there")
     assert [each.crashed_at for each in found] == [20.0]
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -163,7 +163,7 @@
     others = list(range(1000, 1400))
     for number in range(3):
         for name in fleet.runners:
-            runner_hash = fleets.evidence.mark(fleet.runners[name])
+            runner_hash = fleets.evidence.hash_runner(fleet.runners[name])
             ends = tuple(
                 messages.RunnerCrash(
                     digest, runner_hash, 300 - 90 * number, 250, 1
@@ -190,7 +190,9 @@
     fleet.run(2.0)
     for each in fleet.instances:
         for number in range(20):
-            runner_hash = fleets.evidence.mark(fleet.runners[f"r{number % 9}"])
+            runner_hash = fleets.evidence.hash_runner(
+                fleet.runners[f"r{number % 9}"]
+            )
             end = messages.RunnerCrash(POISON, runner_hash + number, 90, 80, 1)
             received = messages.Suspicions("c0", (end,))
             each.quarantine.receive_suspicions(
