--- a/benchmarks/duties_cost.py
+++ b/benchmarks/duties_cost.py
@@ -9,11 +9,11 @@
 import time
 
 from pollenfork import ids
-from pollenfork.duties import tallies
+from pollenfork.duties import usage
 from pollenfork.gateway import officer
 from pollenfork.loads import messages
 
-_WINDOWS = tallies.Windows(5.0, 4)
+_WINDOWS = usage.Windows(5.0, 4)
 _RATE_EACH = 10.0  # Requests a second at each instance.
 _SECONDS = 20
 # A datagram's headers, in bytes.
@@ -36,8 +36,8 @@
     """Returns bytes heard and sent a second, and the part of a core."""
     rng = random.Random(1)
     names = [ids.AccountId(f"account-{n}") for n in range(accounts)]
-    senders = [tallies.Tallies(_WINDOWS) for _ in range(instances)]
-    ledger = tallies.Ledger(_WINDOWS)
+    senders = [usage.UsageCounter(_WINDOWS) for _ in range(instances)]
+    ledger = usage.UsageAggregator(_WINDOWS)
     period_s = max(officer._TELL_S, instances * officer._TELL_EACH_S)
     heard = sent = 0
     spent_s = 0.0
@@ -46,9 +46,9 @@
         now += period_s
         for number, counted in enumerate(senders):
             for _ in range(round(_RATE_EACH * period_s)):
-                counted.note(rng.choice(names), now)
-            counted.forget(now)
-            told = counted.list_untold("holder")
+                counted.record(rng.choice(names), now)
+            counted.expire(now)
+            told = counted.list_unacknowledged("holder")
             tally = messages.Tally("zone-a", number, told, now, now, now)
             data = messages.encode(tally)
             heard += len(data) + _HEADERS
@@ -56,19 +56,19 @@
             answer = _take(ledger, data, number, now)
             spent_s += time.process_time() - begun
             sent += len(answer) + _HEADERS
-            counted.note_told(told, "holder", 1)
+            counted.record_acknowledged(told, "holder", 1)
         begun = time.process_time()
-        ledger.forget(now, now)
+        ledger.expire(now, now)
         spent_s += time.process_time() - begun
     return heard / now, sent / now, spent_s / now
 
 
 def _take(
-    ledger: tallies.Ledger, data: bytes, number: int, now: float
+    ledger: usage.UsageAggregator, data: bytes, number: int, now: float
 ) -> bytes:
     tally = messages.decode(data)
     assert isinstance(tally, messages.Tally)
-    ledger.take(f"10.0.0.{number}", tally.start, tally.counted, now, now)
+    ledger.receive(f"10.0.0.{number}", tally.start, tally.counted, now, now)
     word = messages.HolderWord("zone-a", "10.0.0.1", 1, 0.0, now, now)
     return messages.encode(word)
 
--- a/pollenfork/duties/__init__.py
+++ b/pollenfork/duties/__init__.py
@@ -1,1 +1,1 @@
-"""What one instance at a time does for all."""
+"""Duties that one instance at a time performs on behalf of all."""
--- a/pollenfork/duties/messages.py
+++ b/pollenfork/duties/messages.py
@@ -1,4 +1,4 @@
-"""What the core of the duties asks to have done, and is told."""
+"""Calls that the duty lease asks for, and the platform's replies."""
 
 import enum
 
@@ -13,12 +13,12 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Write rows, if the holder's row is still as it was read.
+    """Write rows, provided that the holder's row hasn't changed since the read.
 
     Attributes:
-        row: The holder's row.
-        version: Which it must have.
-        reports: Further rows.
+        row: The new row of the holder.
+        version: The version that the stored row must have.
+        reports: Rows of reports to add.
         removed: Keys of rows to remove.
     """
 
@@ -28,35 +28,35 @@
     removed: tuple[str, ...] = ()
 
 
-Step = Read | Write
+StoreCall = Read | Write
 
 
-class Report(msgspec.Struct, frozen=True):
-    """What began to run in a window, by account."""
+class UsageReport(msgspec.Struct, frozen=True):
+    """How many requests of each account started in a window."""
 
     window: int
     counts: dict[ids.AccountId, int]
 
 
-class Task(msgspec.Struct, frozen=True):
+class PlatformCall(msgspec.Struct, frozen=True):
     """A call to the platform that only the holder may make.
 
     Attributes:
-        fencing: The holder's number.
-        before: Monotonic seconds from which on it must not be sent.
-        work: What it says.
+        fencing: The holder's fencing number.
+        deadline: Monotonic seconds from which on it must not be sent.
+        work: What to send.
     """
 
     fencing: ids.FencingNumber
-    before: float
-    work: Report | rows.Order
+    deadline: float
+    work: UsageReport | rows.ScalingOrder
 
 
 class Reply(enum.Enum):
-    """What the platform answered."""
+    """The platform's reply to a call."""
 
     DONE = "done"
-    BUSY = "busy"  # It may be asked again.
-    UNAVAILABLE = "unavailable"  # There are no such runners now.
+    BUSY = "busy"  # The call may be retried.
+    UNAVAILABLE = "unavailable"  # No such runners are available now.
     REJECTED = "rejected"
     NO_ANSWER = "no_answer"
--- a/pollenfork/duties/rows.py
+++ b/pollenfork/duties/rows.py
@@ -1,7 +1,7 @@
-"""Rows that this slice keeps in the store, and their keys.
+"""Rows that the duties keep in the store, and their keys.
 
-All lie in one table and change in one transaction, with the holder's row as
-its condition: whoever reads them sees them as of one moment.
+All are in one table and change in one transaction that is conditional on the
+holder's row, so that every read returns a consistent snapshot.
 """
 
 import msgspec
@@ -15,17 +15,17 @@
 BadRow = records.BadRow
 encode = records.encode
 decode = records.decode
-# Accounts in one row, some 30 bytes each; a row takes 64 KB.
-_ACCOUNTS_EACH = 1500
+# Accounts per row, about 30 bytes each; a row may have 64 KB.
+_ACCOUNTS_PER_ROW = 1500
 
 
-class Subject(msgspec.Struct, frozen=True):
-    """What an order to the platform is about.
+class RunnerPool(msgspec.Struct, frozen=True):
+    """The runners that a scaling order is about.
 
     Attributes:
         service: The service.
-        data_centre: Where its runners run.
-        reclaimable: Whether it is about those that may be taken away.
+        data_centre: The data centre in which the runners run.
+        reclaimable: Whether it is about runners that may be reclaimed.
     """
 
     service: ids.ServiceName
@@ -33,38 +33,38 @@
     reclaimable: bool
 
 
-class Order(msgspec.Struct, frozen=True):
-    """How many runners there shall be."""
+class ScalingOrder(msgspec.Struct, frozen=True):
+    """The number of runners that a pool should have."""
 
-    subject: Subject
+    subject: RunnerPool
     count: int
 
 
 class HolderRow(claims.Claim, frozen=True, kw_only=True):
-    """Who acts for all, and how far that has come.
+    """Who holds the duties, and their progress.
 
     Attributes:
         host: The holder's host.
-        next_window: The first window whose report isn't written down.
-        orders: The latest order on each subject.
+        next_window: The first window whose report isn't stored.
+        orders: The latest order for each pool.
         baselines: How many runners an operator started each service with.
     """
 
     host: str = ""
     next_window: int = 0
-    orders: tuple[Order, ...] = ()
+    orders: tuple[ScalingOrder, ...] = ()
     baselines: dict[ids.ServiceName, int] = msgspec.field(default_factory=dict)
     format: int = FORMAT
 
 
 class ReportRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A part of a window's report, which never changes once it is written.
+    """A part of a window's report; immutable once it is written.
 
     Attributes:
-        window: The window's number.
-        part: Which part, from 0 on.
-        parts: How many there are.
-        counts: Requests that began to run, by account.
+        window: The number of the window.
+        part: The index of the part, from 0 on.
+        parts: How many parts the report has.
+        counts: How many requests of each account started.
     """
 
     window: int
@@ -74,26 +74,26 @@
     format: int = FORMAT
 
 
-def report_key(window: int, part: int) -> str:
+def format_report_key(window: int, part: int) -> str:
     """Returns the key of a part of a window's report."""
     return f"report-{window}-{part}"
 
 
-def cut_report(
+def split_report(
     window: int, counts: dict[ids.AccountId, int]
 ) -> tuple[ReportRow, ...]:
-    """Returns a window's report as rows, each small enough for the store."""
+    """Returns a window's report as rows, each within the store's size limit."""
     names = sorted(counts)
-    pieces = [
-        names[first : first + _ACCOUNTS_EACH]
-        for first in range(0, len(names), _ACCOUNTS_EACH)
+    chunks = [
+        names[first : first + _ACCOUNTS_PER_ROW]
+        for first in range(0, len(names), _ACCOUNTS_PER_ROW)
     ] or [[]]
     return tuple(
         ReportRow(
             window=window,
             part=part,
-            parts=len(pieces),
-            counts={name: counts[name] for name in piece},
+            parts=len(chunks),
+            counts={name: counts[name] for name in chunk},
         )
-        for part, piece in enumerate(pieces)
+        for part, chunk in enumerate(chunks)
     )
--- a/pollenfork/duties/tests/test_bounds.py
+++ b/pollenfork/duties/tests/test_bounds.py
@@ -1,6 +1,6 @@
-"""What the bounds on duties leave, added up from the constants.
+"""Bounds on the times of the duties, computed from the constants.
 
-The table of these sums is in docs/design/duties.md.
+docs/design/duties.md has the table of these sums.
 """
 
 import pathlib
@@ -13,7 +13,7 @@
 
 PAGE = pathlib.Path(__file__).parents[3] / "docs" / "design" / "duties.md"
 BOUNDS = settings.DutySettings(platform=settings.Address("10.0.0.1", 1))
-CALL_S = 0.1  # To the store or the platform; it answers within 4 ms.
+CALL_S = 0.1  # To the store or the platform, which reply within 4 ms.
 
 LEASE_S = BOUNDS.alternation_s * officer._LEASE_PART
 WAIT_S = LEASE_S + platform_calls.ORDER_S
@@ -32,15 +32,15 @@
 }
 
 
-def test_holders_by_turns_are_apart_by_more_than_the_bound() -> None:
+def test_alternating_holders_are_further_apart_than_the_bound() -> None:
     assert 1.4 * BOUNDS.alternation_s <= WAIT_S
 
 
-def test_the_last_call_of_one_takes_effect_before_the_next_acts() -> None:
+def test_a_holders_last_call_takes_effect_before_the_next_one_acts() -> None:
     assert LAST_EFFECT_S < WAIT_S
 
 
-def test_a_report_is_in_time_in_each_case() -> None:
+def test_every_report_is_in_time() -> None:
     late = [total for name, total in SUMS.items() if "A, B" not in name]
     assert max(late) <= 0.8 * BOUNDS.due_s
 
--- a/pollenfork/duties/tests/test_schedules.py
+++ b/pollenfork/duties/tests/test_schedules.py
@@ -1,132 +1,143 @@
-"""One instance acts for all, whatever happens to it and its ways."""
+"""Only one instance performs the duties, whatever fails."""
 
 import msgspec
 import pytest
 
-from pollenfork.duties import agenda
+from pollenfork.duties import duty_lease
 from pollenfork.duties import messages
-from pollenfork.duties import office
+from pollenfork.duties import work_queue
 from pollenfork.duties.tests import schedules
-from pollenfork.duties.tests import world as worlds
+from pollenfork.duties.tests import simulation as simulations
 from pollenfork.leases import lease
 
 
 @pytest.mark.parametrize("first", range(0, 300, 50))
 def test_no_two_act_and_no_window_is_lost(first) -> None:
-    played = [schedules.play(first + number) for number in range(50)]
-    assert [each for each in played if each.broken or each.missing] == []
+    results = [schedules.run_seed(first + number) for number in range(50)]
+    assert [each for each in results if each.violations or each.missing] == []
 
 
-def _find_broken() -> list[str]:
+def _find_violations() -> list[str]:
     return [
-        broken for seed in range(60) for broken in schedules.play(seed).broken
+        violation
+        for seed in range(60)
+        for violation in schedules.run_seed(seed).violations
     ]
 
 
-def test_who_takes_a_lease_before_it_is_over_is_found(monkeypatch) -> None:
+def test_a_claim_before_the_lease_has_ended_is_detected(monkeypatch) -> None:
     monkeypatch.setattr(
-        lease.Lease, "_judge_other", lambda self, now, checks: lease.Hold.FREE
+        lease.Lease,
+        "_get_state_of_other",
+        lambda self, now, checks: lease.LeaseState.FREE,
+    )
+    assert any(
+        "after" in each or "alternates" in each for each in _find_violations()
     )
-    assert any("after" in each or "turns" in each for each in _find_broken())
 
 
-def test_who_acts_after_its_lease_is_found(monkeypatch) -> None:
-    def make(self, work, now):
+def test_a_holder_that_acts_after_its_lease_is_detected(monkeypatch) -> None:
+    def make_call(self, work, now):
         if work is None:
             return None
-        return messages.Task(self.fencing, float("inf"), work)
+        return messages.PlatformCall(self.fencing, float("inf"), work)
 
-    monkeypatch.setattr(office.Office, "_make_task", make)
-    monkeypatch.setattr(worlds.World, "careless", True)
-    assert any("after" in each for each in _find_broken())
+    monkeypatch.setattr(duty_lease.DutyLease, "_make_call", make_call)
+    monkeypatch.setattr(simulations.Simulation, "ignores_expiry", True)
+    assert any("after" in each for each in _find_violations())
 
 
-def test_a_number_that_doesnt_grow_is_found(monkeypatch) -> None:
-    def claim(self, now):
+def test_a_fencing_number_that_isnt_incremented_is_detected(
+    monkeypatch,
+) -> None:
+    def propose_claim(self, now):
         old = self.row or self._make_first()
         return self.propose(
             msgspec.structs.replace(old, holder=self._instance), now
         )
 
-    monkeypatch.setattr(lease.Lease, "propose_claim", claim)
-    assert any("two machines" in each for each in _find_broken())
+    monkeypatch.setattr(lease.Lease, "propose_claim", propose_claim)
+    assert any("two machines" in each for each in _find_violations())
 
 
-def test_a_report_that_is_told_before_it_is_written_is_found(
+def test_a_report_that_is_sent_before_it_is_stored_is_detected(
     monkeypatch,
 ) -> None:
-    def find(self, now):
-        ready = {**self._ready, **self.frozen}
-        due = sorted(set(ready) - self._confirmed)
-        return ready[due[0]] if due else None
+    def next_report(self, now):
+        reports = {**self._unwritten_reports, **self.stored_reports}
+        due = sorted(set(reports) - self._acknowledged)
+        return reports[due[0]] if due else None
 
-    monkeypatch.setattr(agenda.Agenda, "next_report", find)
-    assert any("two reports" in each for each in _find_broken())
+    monkeypatch.setattr(work_queue.WorkQueue, "next_report", next_report)
+    assert any("two reports" in each for each in _find_violations())
 
 
-# The worst case of each step from a holder's death to the next one's first
-# act; the table of these sums is in docs/design/duties.md.
-def test_a_window_is_reported_in_time_though_its_holder_dies() -> None:
+# Covers the worst case from a holder's crash to the next holder's first call;
+# docs/design/duties.md has the table of the steps.
+def test_a_window_is_reported_in_time_though_its_holder_crashes() -> None:
     worst = 0.0
     for seed in range(20):
-        world = worlds.World(seed, machines=5)
-        world.run(4.0 + seed * 0.25)
-        (holder,) = world.list_holders()
+        simulation = simulations.Simulation(seed, machines=5)
+        simulation.run(4.0 + seed * 0.25)
+        (holder,) = simulation.list_holders()
         holder.alive = False
-        window = int(world.now // worlds.WINDOW_S)
-        end = (window + 1) * worlds.WINDOW_S
-        world.run(end + worlds.DUE_S - world.now)
-        worst = max(worst, world.acknowledged[window] - end)
-    assert worst < 0.7 * worlds.DUE_S
+        window = int(simulation.now // simulations.WINDOW_S)
+        end = (window + 1) * simulations.WINDOW_S
+        simulation.run(end + simulations.DUE_S - simulation.now)
+        worst = max(worst, simulation.acknowledged[window] - end)
+    assert worst < 0.7 * simulations.DUE_S
 
 
 def test_a_frozen_report_is_told_in_the_same_words_by_the_next_holder() -> None:
-    world = worlds.World(3, machines=3)
-    world.platform_up = False
-    world.run(8.0)
-    (holder,) = world.list_holders()
-    frozen = dict(holder.office.agenda.frozen)
+    simulation = simulations.Simulation(3, machines=3)
+    simulation.platform_up = False
+    simulation.run(8.0)
+    (holder,) = simulation.list_holders()
+    stored = dict(holder.duty_lease.work_queue.stored_reports)
     holder.alive = False
-    world.platform_up = True
-    world.run(12.0)
-    told = {
+    simulation.platform_up = True
+    simulation.run(12.0)
+    sent = {
         call.work.window: call.work
-        for call in world.calls
-        if isinstance(call.work, messages.Report)
+        for call in simulation.calls
+        if isinstance(call.work, messages.UsageReport)
     }
-    assert frozen
-    assert {window: told[window] for window in frozen} == frozen
-
-
-def test_nothing_is_asked_of_the_store_while_another_one_holds() -> None:
-    world = worlds.World(4, machines=8)
-    world.run(4.0)
-    (holder,) = world.list_holders()
-    asked = []
-    ask = world._ask_store
-
-    def note(machine, step):
-        asked.append(machine)
-        ask(machine, step)
-
-    world._ask_store = note
-    world.run(20.0)
-    assert set(map(id, asked)) == {id(holder)}
-
-
-def test_reports_that_nobody_takes_are_bounded() -> None:
-    world = worlds.World(5, machines=3)
-    world.platform_up = False
-    world.run(500.0)
-    (holder,) = world.list_holders()
-    assert len(holder.office.agenda.frozen) <= agenda.WAITING_LIMIT + 3
-    assert len(world.store.rows) <= agenda.WAITING_LIMIT + 4
-    world.platform_up = True
-    world.run(60.0)
-    told = {
+    assert stored
+    assert {window: sent[window] for window in stored} == stored
+
+
+def test_only_the_holder_calls_the_store() -> None:
+    simulation = simulations.Simulation(4, machines=8)
+    simulation.run(4.0)
+    (holder,) = simulation.list_holders()
+    callers = []
+    call_store = simulation._call_store
+
+    def record(machine, call):
+        callers.append(machine)
+        call_store(machine, call)
+
+    simulation._call_store = record
+    simulation.run(20.0)
+    assert set(map(id, callers)) == {id(holder)}
+
+
+def test_the_backlog_of_reports_is_bounded() -> None:
+    simulation = simulations.Simulation(5, machines=3)
+    simulation.platform_up = False
+    simulation.run(500.0)
+    (holder,) = simulation.list_holders()
+    assert (
+        len(holder.duty_lease.work_queue.stored_reports)
+        <= work_queue.BACKLOG_LIMIT + 3
+    )
+    assert len(simulation.store.rows) <= work_queue.BACKLOG_LIMIT + 4
+    simulation.platform_up = True
+    simulation.run(60.0)
+    sent = {
         call.work.window
-        for call in world.calls
-        if isinstance(call.work, messages.Report)
+        for call in simulation.calls
+        if isinstance(call.work, messages.UsageReport)
     }
-    assert len(told) >= agenda.WAITING_LIMIT
-    assert len(world.store.rows) <= 3
+    assert len(sent) >= work_queue.BACKLOG_LIMIT
+    assert len(simulation.store.rows) <= 3
--- /dev/null
+++ b/pollenfork/duties/work_queue.py
@@ -0,0 +1,238 @@
+"""Usage reports and scaling orders on their way to the platform.
+
+A report is first unwritten, then stored, then acknowledged by the platform, and
+forgotten once its rows are removed. An order is first unwritten, then stored,
+then accepted by the platform; the latest order for each pool is kept.
+"""
+
+from collections.abc import Iterable
+import logging
+
+import msgspec
+import result
+
+from pollenfork import ids
+from pollenfork.catalogue import messages as catalogue
+from pollenfork.duties import messages
+from pollenfork.duties import rows
+
+_LOG = logging.getLogger(__name__)
+
+# The most windows that wait for the platform; beyond that the oldest are
+# dropped. It holds five minutes, about 60 rows of the store at the usual size.
+BACKLOG_LIMIT = 60
+# The delay after a failed call to the platform, in seconds.
+_RETRY_DELAY_S = 0.5
+
+
+class WorkQueue:
+    """The queue of reports and orders for the platform.
+
+    Attributes:
+        stored_reports: Reports that are in the store, by window.
+    """
+
+    def __init__(self) -> None:
+        """Creates an empty queue."""
+        self._unwritten_reports: dict[int, messages.UsageReport] = {}
+        self.stored_reports: dict[int, messages.UsageReport] = {}
+        self._stored_keys: dict[int, tuple[str, ...]] = {}
+        self._acknowledged: set[int] = set()
+        self._stored_orders: dict[rows.RunnerPool, rows.ScalingOrder] = {}
+        self._unwritten_orders: dict[rows.RunnerPool, rows.ScalingOrder] = {}
+        self._accepted: dict[rows.RunnerPool, rows.ScalingOrder] = {}
+        self._baselines: dict[ids.ServiceName, int] = {}
+        self._paused_until: dict[int | rows.RunnerPool, float] = {}
+
+    @property
+    def has_unwritten(self) -> bool:
+        """Whether any report or order is yet to be stored."""
+        return bool(self._unwritten_reports or self._unwritten_orders)
+
+    def find_next_window(self, row: rows.HolderRow | None) -> int:
+        """Returns the first window without a report, stored or unwritten."""
+        stored = row.next_window if row else 0
+        return max(
+            [stored, *(window + 1 for window in self._unwritten_reports)]
+        )
+
+    def list_orders(self) -> list[rows.ScalingOrder]:
+        """Returns the latest order for each pool."""
+        return list({**self._stored_orders, **self._unwritten_orders}.values())
+
+    def find_baseline(
+        self, row: rows.HolderRow | None, service: ids.ServiceName
+    ) -> int | None:
+        """Returns how many runners a service was started with, if known."""
+        stored = row.baselines if row else {}
+        return self._baselines.get(service, stored.get(service))
+
+    def set_baseline(self, service: ids.ServiceName, count: int) -> None:
+        """Sets how many runners a service was started with."""
+        self._baselines[service] = count
+
+    def add_report(self, report: messages.UsageReport) -> None:
+        """Queues a report to be stored, then sent."""
+        self._unwritten_reports[report.window] = report
+        waiting = self._list_waiting()
+        for window in waiting[: max(0, len(waiting) - BACKLOG_LIMIT)]:
+            # The platform was unreachable for as long as the limit covers.
+            _LOG.error("event=window_dropped window=%d", window)
+            self._acknowledged.add(window)
+
+    def add_order(self, order: rows.ScalingOrder) -> None:
+        """Queues an order to be stored, then sent."""
+        self._unwritten_orders[order.subject] = order
+        self._accepted.pop(order.subject, None)
+
+    # Calls to the platform.
+
+    def next_report(self, now: float) -> messages.UsageReport | None:
+        """Returns the oldest stored report that is due to be sent."""
+        for window in self._list_waiting():
+            if now >= self._paused_until.get(window, now):
+                return self.stored_reports[window]
+        return None
+
+    def next_order(self, now: float) -> rows.ScalingOrder | None:
+        """Returns a stored order that is due to be sent."""
+        for subject, order in self._stored_orders.items():
+            if (
+                self._accepted.get(subject) == order
+                or subject in self._unwritten_orders
+            ):
+                continue
+            if now >= self._paused_until.get(subject, now):
+                return order
+        return None
+
+    def handle_reply(
+        self,
+        work: messages.UsageReport | rows.ScalingOrder,
+        reply: messages.Reply,
+        now: float,
+    ) -> None:
+        """Handles the platform's reply to a report or an order."""
+        retry = reply in (messages.Reply.BUSY, messages.Reply.NO_ANSWER)
+        if isinstance(work, messages.UsageReport):
+            if retry:
+                self._paused_until[work.window] = now + _RETRY_DELAY_S
+            else:
+                self._acknowledged.add(work.window)
+            return
+        if retry:
+            self._paused_until[work.subject] = now + _RETRY_DELAY_S
+        else:
+            self._accepted[work.subject] = work
+
+    # Rows of the store.
+
+    def reset(self) -> None:
+        """Discards what was left unwritten when this instance last held."""
+        self._unwritten_reports.clear()
+        self._unwritten_orders.clear()
+        self._baselines.clear()
+
+    def record_takeover(self) -> None:
+        """Sends all orders again, as another holder may have sent others."""
+        self._accepted.clear()
+
+    def update_row(self, old: rows.HolderRow) -> rows.HolderRow:
+        """Returns the holder's row with everything unwritten added."""
+        orders = {**self._stored_orders, **self._unwritten_orders}
+        return msgspec.structs.replace(
+            old,
+            next_window=self.find_next_window(old),
+            orders=tuple(orders.values()),
+            baselines={**old.baselines, **self._baselines},
+        )
+
+    def list_report_rows(self) -> tuple[rows.ReportRow, ...]:
+        """Returns the rows of the unwritten reports."""
+        unwritten = sorted(
+            self._unwritten_reports.values(), key=lambda each: each.window
+        )
+        return tuple(
+            part
+            for report in unwritten
+            for part in rows.split_report(report.window, report.counts)
+        )
+
+    def list_removable(self) -> tuple[str, ...]:
+        """Returns the keys of the rows of acknowledged reports."""
+        return tuple(
+            key
+            for window in sorted(self._acknowledged)
+            for key in self._stored_keys.get(window, ())
+        )
+
+    def record_written(self, written: messages.Write) -> None:
+        """Records that a write of the holder is in the store."""
+        for part in written.reports:
+            report = self._unwritten_reports.pop(part.window, None)
+            if report is not None:
+                self.stored_reports[part.window] = report
+            self._add_key(
+                part.window, rows.format_report_key(part.window, part.part)
+            )
+        self._stored_orders = {
+            each.subject: each for each in written.row.orders
+        }
+        self._unwritten_orders = {
+            subject: order
+            for subject, order in self._unwritten_orders.items()
+            if self._stored_orders.get(subject) != order
+        }
+        self._forget_removed(set(written.removed))
+
+    def load(
+        self, row: rows.HolderRow | None, stored: Iterable[catalogue.Row]
+    ) -> None:
+        """Loads the rows of the store, whoever wrote them."""
+        parts: dict[int, list[rows.ReportRow]] = {}
+        self._stored_keys = {}
+        for each in stored:
+            decoded = rows.decode(each.value, rows.ReportRow)
+            if isinstance(decoded, result.Err):
+                continue  # Not a report that this version can send.
+            part = decoded.ok_value
+            parts.setdefault(part.window, []).append(part)
+            self._add_key(part.window, each.key)
+        self.stored_reports = {
+            window: _join_parts(window, found)
+            for window, found in parts.items()
+            if len(found) == found[0].parts
+        }
+        next_window = row.next_window if row else 0
+        self._unwritten_reports = {
+            number: report
+            for number, report in self._unwritten_reports.items()
+            if number >= next_window
+        }
+        orders = row.orders if row else ()
+        self._stored_orders = {each.subject: each for each in orders}
+
+    def _list_waiting(self) -> list[int]:
+        return sorted(set(self.stored_reports) - self._acknowledged)
+
+    def _add_key(self, window: int, key: str) -> None:
+        keys = self._stored_keys.get(window, ())
+        self._stored_keys[window] = (*keys, key)
+
+    def _forget_removed(self, removed: set[str]) -> None:
+        for window in sorted(self._acknowledged):
+            keys = self._stored_keys.get(window, ())
+            if removed.issuperset(keys):
+                self._acknowledged.discard(window)
+                self.stored_reports.pop(window, None)
+                self._stored_keys.pop(window, None)
+                self._paused_until.pop(window, None)
+
+
+def _join_parts(
+    window: int, parts: list[rows.ReportRow]
+) -> messages.UsageReport:
+    counts: dict[ids.AccountId, int] = {}
+    for part in parts:
+        counts.update(part.counts)
+    return messages.UsageReport(window, counts)
--- a/pollenfork/endpoints/holder.py
+++ b/pollenfork/endpoints/holder.py
@@ -50,13 +50,13 @@
         data_centre: ids.DataCentre,
         instance: ids.InstanceId,
         new_id: Callable[[], ids.WriteId],
-        limits: lease.Limits | None = None,
+        limits: lease.LeaseTimes | None = None,
         pace: Pace | None = None,
     ) -> None:
         self._endpoint = endpoint
         self._data_centre = data_centre
         self._key = rows.lease_key(data_centre, endpoint)
-        self._limits = limits or lease.Limits()
+        self._limits = limits or lease.LeaseTimes()
         self._pace = pace or Pace()
         self._lease = lease.Lease(
             instance, self._limits, new_id, lambda: _make_first(instance)
@@ -101,7 +101,7 @@
 
     def holds(self, now: float) -> bool:
         """Returns whether this instance may act on the endpoint at `now`."""
-        return self._read_hold(now) is lease.Hold.MINE
+        return self._read_hold(now) is lease.LeaseState.HELD
 
     def read_fencing(self) -> ids.FencingNumber:
         """Returns the latest fencing number seen in the table."""
@@ -160,7 +160,7 @@
             return
         failure = answer.err_value
         if isinstance(failure, errors.Unanswered | errors.Conflicted):
-            self._lease.forget()  # Reading shows whose write it was.
+            self._lease.invalidate()  # Reading shows whose write it was.
             return
         self._back_off(now, failure)
 
@@ -197,18 +197,18 @@
                 self._not_before = now + self._limits.order_s
             case edges.Fenced():
                 self._overtaken = True
-                self._lease.forget()
+                self._lease.invalidate()
                 self._back_off(now, None)
             case _:
                 self._back_off(now, None)
 
     def _choose(self, now: float, rank: int | None) -> steps.Step | None:
         hold = self._read_hold(now)
-        if hold is lease.Hold.MINE and not self._overtaken:
+        if hold is lease.LeaseState.HELD and not self._overtaken:
             return self._act(now)
         if rank is None:
             return None
-        if hold is lease.Hold.UNREAD:
+        if hold is lease.LeaseState.UNREAD:
             return self._look(now)
         work = self._find_work(now)
         if work is None and self.read_pending() is None:
@@ -219,7 +219,9 @@
         if now >= self._look_at:
             return self._look(now)
         late = now - self._needed_since < rank * self._pace.rank_s
-        if hold is lease.Hold.OTHERS or (hold is lease.Hold.FREE and late):
+        if hold is lease.LeaseState.HELD_BY_OTHER or (
+            hold is lease.LeaseState.FREE and late
+        ):
             return None
         return self._claim(work, now)
 
@@ -245,7 +247,7 @@
         work = self._find_work(now)
         if pending is None and work is None:
             return self._give_back(row, now)
-        if self._lease.read_age(now) > self._limits.lease_s / 3:
+        if self._lease.age(now) > self._limits.lease_s / 3:
             return self._write(self._change(row, now), ())
         if pending:
             return self._send(row, pending)
@@ -311,9 +313,9 @@
         puts = (put, *more)
         return steps.Write(platform_edges.Transaction(row.write_id, puts))
 
-    def _read_hold(self, now: float) -> lease.Hold:
+    def _read_hold(self, now: float) -> lease.LeaseState:
         checks = self._desired is not None and self._desired.checks_fencing
-        return self._lease.read_hold(now, checks)
+        return self._lease.get_state(now, checks)
 
     def _find_work(self, now: float) -> orders.Work | None:
         """Returns the first order needed that isn't held back."""
--- a/pollenfork/endpoints/tests/world.py
+++ b/pollenfork/endpoints/tests/world.py
@@ -20,7 +20,7 @@
 
 ENDPOINT = ids.EndpointId("e1")
 DC = ids.DataCentre("dc1")
-LIMITS = lease.Limits()
+LIMITS = lease.LeaseTimes()
 _WITHOUT_RATES = fake.configs.PlatformConfig(reads_per_s=1e6, writes_per_s=1e6)
 LOST = result.Err(errors.Unanswered())
 
--- a/pollenfork/gateway/accounting.py
+++ b/pollenfork/gateway/accounting.py
@@ -8,9 +8,9 @@
 import time
 
 from pollenfork import ids
+from pollenfork.duties import cluster_clock
 from pollenfork.duties import messages
-from pollenfork.duties import tallies
-from pollenfork.duties import truetime
+from pollenfork.duties import usage
 from pollenfork.gateway import settings
 from pollenfork.loads import messages as loads
 
@@ -58,10 +58,10 @@
         self._read_wall = read_wall
         self.start = rng.getrandbits(32)
         kept = math.ceil(duties.due_s / duties.window_s) + 2
-        self.windows = tallies.Windows(duties.window_s, kept)
-        self._tallies = tallies.Tallies(self.windows)
-        self._ledger = tallies.Ledger(self.windows)
-        self._time = truetime.TrueTime(read_wall, loop.time())
+        self.windows = usage.Windows(duties.window_s, kept)
+        self._tallies = usage.UsageCounter(self.windows)
+        self._ledger = usage.UsageAggregator(self.windows)
+        self._time = cluster_clock.ClusterClock(read_wall, loop.time())
         self._telling: dict[float, tuple[loads.Counted, ...]] = {}
 
     def read_time(self) -> float:
@@ -74,21 +74,21 @@
 
     def note_begun(self, account: ids.AccountId) -> None:
         """Counts a request that began to run."""
-        self._tallies.note(account, self.read_time())
+        self._tallies.record(account, self.read_time())
 
     def sweep(self, now: float) -> None:
         """Forgets what is old."""
         time_now = self._time.read(now)
-        self._tallies.forget(time_now)
-        self._ledger.forget(time_now, now)
+        self._tallies.expire(time_now)
+        self._ledger.expire(time_now, now)
 
     def lead(self, now: float) -> None:
         """Goes by all clocks and takes over the own counts.
 
         For the one that acts for all.
         """
-        self._time.agree(now)
-        self._ledger.take(
+        self._time.follow_median(now)
+        self._ledger.receive(
             self._host,
             self.start,
             self._tallies.list_all(),
@@ -100,7 +100,7 @@
 
     def write_tally(self, holder: str, now: float) -> loads.Tally:
         """Returns what to tell the holder."""
-        counted = self._tallies.list_untold(holder)
+        counted = self._tallies.list_unacknowledged(holder)
         self._telling = {now: counted}
         return loads.Tally(
             self._data_centre,
@@ -113,8 +113,10 @@
 
     def take_tally(self, tally: loads.Tally, host: str, now: float) -> None:
         """Takes what another instance has counted, and its clock."""
-        self._ledger.take(host, tally.start, tally.counted, tally.through, now)
-        self._time.note_clock(host, tally.wall, now)
+        self._ledger.receive(
+            host, tally.start, tally.counted, tally.through, now
+        )
+        self._time.record_clock(host, tally.wall, now)
 
     def take_answer(
         self, word: loads.HolderWord, host: str, now: float
@@ -123,15 +125,15 @@
         counted = self._telling.pop(word.echo, None)
         if counted is None:
             return
-        self._tallies.note_told(counted, host, word.start)
+        self._tallies.record_acknowledged(counted, host, word.start)
         if word.time:
-            self._time.follow(word.time, word.echo, now)
+            self._time.follow_holder(word.time, word.echo, now)
 
     # Sums.
 
     def sum_up(
         self, first: int, held_since: float, now: float
-    ) -> Iterator[messages.Report]:
+    ) -> Iterator[messages.UsageReport]:
         """Yields the reports of windows that can be summed up now.
 
         Args:
@@ -141,8 +143,8 @@
         """
         window = first
         while self._is_whole(window, held_since, now):
-            missing = self._ledger.list_missing(window, now)
-            counts = self._ledger.add_up(window)
+            missing = self._ledger.list_missing_hosts(window, now)
+            counts = self._ledger.total(window)
             _LOG.info(
                 "event=window_summed window=%d accounts=%d requests=%d "
                 "late_ms=%d missing=%s",
@@ -152,7 +154,7 @@
                 self.read_late(window) * 1000,
                 ",".join(missing) or "-",
             )
-            yield messages.Report(window, counts)
+            yield messages.UsageReport(window, counts)
             window += 1
 
     def _is_whole(self, window: int, held_since: float, now: float) -> bool:
@@ -164,4 +166,4 @@
             return False
         if late_s >= self._due_s * _WAITED_PART:
             return True
-        return not self._ledger.list_missing(window, now)
+        return not self._ledger.list_missing_hosts(window, now)
--- a/pollenfork/gateway/duty_rows.py
+++ b/pollenfork/gateway/duty_rows.py
@@ -76,7 +76,9 @@
     )
     reports = [
         changes.Put(
-            table, rows.report_key(each.window, each.part), rows.encode(each)
+            table,
+            rows.format_report_key(each.window, each.part),
+            rows.encode(each),
         )
         for each in step.reports
     ]
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -104,7 +104,7 @@
 class Cloud(Protocol):
     """Encodes the calls to the platform that one instance at a time makes."""
 
-    def write(self, task: duties.Task) -> bytes:
+    def write(self, task: duties.PlatformCall) -> bytes:
         """Returns the request that tells or orders something."""
 
     def read(self, status: int) -> duties.Reply:
--- a/pollenfork/gateway/officer.py
+++ b/pollenfork/gateway/officer.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from pollenfork import ids
+from pollenfork.duties import duty_lease
 from pollenfork.duties import messages
-from pollenfork.duties import office
 from pollenfork.gateway import accounting
 from pollenfork.gateway import duty_rows
 from pollenfork.gateway import edges
@@ -42,7 +42,7 @@
 # Candidates that the holder tells of itself again and again.
 _TOLD_FIRST = 3
 
-TakeReply = Callable[[messages.Task, messages.Reply, float], None]
+TakeReply = Callable[[messages.PlatformCall, messages.Reply, float], None]
 
 
 class Others(Protocol):
@@ -99,12 +99,12 @@
         self._calls = platform_calls.PlatformCalls(
             loop, duties, cloud, self.accounts.read_late
         )
-        limits = lease.Limits(
+        limits = lease.LeaseTimes(
             lease_s=duties.alternation_s * _LEASE_PART,
             order_s=platform_calls.ORDER_S,
             margin_s=_MARGIN_S,
         )
-        self.office = office.Office(
+        self.office = duty_lease.DutyLease(
             told.instance,
             self._host,
             limits,
@@ -166,7 +166,7 @@
             self._act(now)
         elif self._holder == self._host:
             self._holder = ""
-        step = self.office.next_step(now, self._stands(now))
+        step = self.office.next_store_call(now, self._stands(now))
         if step is not None:
             self._spawn(self._carry_out(step))
         self._tell(now)
@@ -182,15 +182,17 @@
         if self._duties.reports:
             first = self.office.next_window
             for each in self.accounts.sum_up(first, self._held_since, now):
-                self.office.agenda.add_report(each)
+                self.office.work_queue.add_report(each)
         for call in self._on_held:
             call(now)
         self._calls.begin(self.office.next_report(now), self._take_reply)
         self._calls.begin(self.office.next_order(now), self._take_reply)
 
-    def _take_reply(self, task: messages.Task, reply: messages.Reply) -> None:
+    def _take_reply(
+        self, task: messages.PlatformCall, reply: messages.Reply
+    ) -> None:
         now = self._loop.time()
-        self.office.agenda.take_reply(task.work, reply, now)
+        self.office.work_queue.handle_reply(task.work, reply, now)
         for call in self._on_reply:
             call(task, reply, now)
 
@@ -215,7 +217,7 @@
         candidates = self._list_candidates()
         return candidates[0] if candidates else self._host
 
-    async def _carry_out(self, step: messages.Step) -> None:
+    async def _carry_out(self, step: messages.StoreCall) -> None:
         if isinstance(step, messages.Read):
             await self._read()
         else:
@@ -224,7 +226,7 @@
     async def _read(self) -> None:
         read = await self._rows.read()
         now = self._loop.time()
-        self.office.take_rows(read, now)
+        self.office.handle_rows(read, now)
         holder = self.office.find_holder(now)
         if holder and holder != self._host:
             # Its row may be some seconds old: asking it will show.
@@ -233,7 +235,7 @@
 
     async def _write(self, step: messages.Write) -> None:
         written = await self._rows.write(step)
-        self.office.take_commit(written, self._loop.time())
+        self.office.handle_commit(written, self._loop.time())
 
     # What instances tell each other.
 
@@ -258,7 +260,7 @@
         """Tells an instance that its counts arrived, and who holds."""
         if self._others is None:
             return
-        holds = self.office.holds(now) and not self.office.struggles
+        holds = self.office.holds(now) and not self.office.is_store_failing
         age_s = 0.0 if holds else now - self._heard_at
         known = self._holder != self._host and age_s < _SILENT_S
         holder = self._host if holds else self._holder if known else ""
@@ -274,7 +276,7 @@
 
     def _announce(self, hosts: list[str]) -> None:
         """Says that this instance acts for all, or that it can't for long."""
-        holder = "" if self.office.struggles else self._host
+        holder = "" if self.office.is_store_failing else self._host
         word = loads.HolderWord(
             self._data_centre, holder, self.accounts.start, 0.0
         )
--- a/pollenfork/gateway/ordering.py
+++ b/pollenfork/gateway/ordering.py
@@ -4,8 +4,8 @@
 import logging
 
 from pollenfork import ids
+from pollenfork.duties import duty_lease
 from pollenfork.duties import messages
-from pollenfork.duties import office
 from pollenfork.duties import rows
 from pollenfork.fleet import choice
 from pollenfork.fleet import offers
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        held: office.Office,
+        held: duty_lease.DutyLease,
         known: knowledge.Knowledge,
         chooser: choice.Chooser,
     ) -> None:
@@ -68,10 +68,10 @@
                 self._plan(service.name, service.scaling, now)
 
     def note_reply(
-        self, task: messages.Task, reply: messages.Reply, now: float
+        self, task: messages.PlatformCall, reply: messages.Reply, now: float
     ) -> None:
         """Takes what the platform answered to an order."""
-        if not isinstance(task.work, rows.Order):
+        if not isinstance(task.work, rows.ScalingOrder):
             return
         subject = task.work.subject
         planned = self._planners.get(subject.service)
@@ -89,7 +89,7 @@
             since = self._grown_at.get(service)
             if since is None or now - since < _SETTLED_S:
                 return  # More of those started together may not be known yet.
-            self._office.agenda.set_baseline(service, usual)
+            self._office.work_queue.set_baseline(service, usual)
         planned = self._planners.get(service)
         if planned is None or planned.terms != terms:
             need = demand.Demand(usual, view.ready, now)
@@ -110,10 +110,12 @@
                 use.taken,
                 planned.usual,
             )
-            subject = rows.Subject(
+            subject = rows.RunnerPool(
                 service, target.kind.data_centre, target.kind.reclaimable
             )
-            self._office.agenda.add_order(rows.Order(subject, target.count))
+            self._office.work_queue.add_order(
+                rows.ScalingOrder(subject, target.count)
+            )
 
     def _note_growth(self, now: float) -> None:
         """Notes since when the runners of each service are as many."""
@@ -146,6 +148,6 @@
             model.Kind(
                 each.subject.data_centre, each.subject.reclaimable
             ): each.count
-            for each in self._office.agenda.list_orders()
+            for each in self._office.work_queue.list_orders()
             if each.subject.service == service
         }
--- a/pollenfork/gateway/platform_calls.py
+++ b/pollenfork/gateway/platform_calls.py
@@ -22,7 +22,7 @@
 # Times that are kept until a scraper takes them: an hour of windows.
 _SHOWN_LIMIT = 720
 
-TakeReply = Callable[[messages.Task, messages.Reply], None]
+TakeReply = Callable[[messages.PlatformCall, messages.Reply], None]
 
 
 class PlatformCalls:
@@ -48,8 +48,8 @@
         self._cloud = cloud
         self._read_late = read_late
         self._clients = {
-            messages.Report: client.Client(duties.platform),
-            rows.Order: client.Client(duties.platform),
+            messages.UsageReport: client.Client(duties.platform),
+            rows.ScalingOrder: client.Client(duties.platform),
         }
         self._tasks: dict[type, asyncio.Task[None]] = {}
         self._replies: collections.Counter[tuple[str, messages.Reply]] = (
@@ -59,7 +59,9 @@
             maxlen=_SHOWN_LIMIT
         )
 
-    def begin(self, task: messages.Task | None, take: TakeReply) -> None:
+    def begin(
+        self, task: messages.PlatformCall | None, take: TakeReply
+    ) -> None:
         """Begins a call, unless one of its kind is under way.
 
         Args:
@@ -90,22 +92,25 @@
             shown.observe("pollenfork_window_report_seconds", late_s)
         self._reported_s.clear()
 
-    async def _call(self, task: messages.Task, take: TakeReply) -> None:
+    async def _call(self, task: messages.PlatformCall, take: TakeReply) -> None:
         request = self._cloud.write(task)
         answer = await self._clients[type(task.work)].call(
-            request, ORDER_S, task.before
+            request, ORDER_S, task.deadline
         )
         reply = messages.Reply.NO_ANSWER
         if answer is not None:
             reply = self._cloud.read(answer[0])
-        if isinstance(task.work, rows.Order):
+        if isinstance(task.work, rows.ScalingOrder):
             self._note_order(task.work, task, reply)
         else:
             self._note_report(task.work, task, reply)
         take(task, reply)
 
     def _note_order(
-        self, order: rows.Order, task: messages.Task, reply: messages.Reply
+        self,
+        order: rows.ScalingOrder,
+        task: messages.PlatformCall,
+        reply: messages.Reply,
     ) -> None:
         self._replies["order", reply] += 1
         _LOG.info(
@@ -121,8 +126,8 @@
 
     def _note_report(
         self,
-        report: messages.Report,
-        task: messages.Task,
+        report: messages.UsageReport,
+        task: messages.PlatformCall,
         reply: messages.Reply,
     ) -> None:
         late_s = self._read_late(report.window)
--- a/pollenfork/gateway/tests/test_officer.py
+++ b/pollenfork/gateway/tests/test_officer.py
@@ -9,7 +9,7 @@
 from pollenfork import ids
 from pollenfork.catalogue import messages as catalogue
 from pollenfork.duties import messages
-from pollenfork.duties.tests import world as worlds
+from pollenfork.duties.tests import simulation as worlds
 from pollenfork.gateway import officer
 from pollenfork.gateway import settings
 
@@ -196,7 +196,7 @@
         reports = {
             task.work.window: task.work.counts
             for _, _, task in self.told
-            if isinstance(task.work, messages.Report)
+            if isinstance(task.work, messages.UsageReport)
         }
         return sum(counts.get(ACCOUNT, 0) for counts in reports.values())
 
@@ -346,7 +346,7 @@
         site.platform_up = False
         begun = site.run(25.0, begun_each=0.4)
         holder = find_holder(site)
-        assert len(holder.officer.office.agenda.frozen) > PAGE
+        assert len(holder.officer.office.work_queue.stored_reports) > PAGE
         holder.alive = False
         site.platform_up = True
         site.run(20.0)
--- a/pollenfork/leases/__init__.py
+++ b/pollenfork/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Who may act alone on something, by a row of the store."""
+"""Leases: exclusive, time-limited rights held by a row of the store."""
--- a/pollenfork/leases/claims.py
+++ b/pollenfork/leases/claims.py
@@ -1,4 +1,4 @@
-"""What every row of a lease says, whatever it is for."""
+"""The fields common to the rows of all leases."""
 
 import msgspec
 
@@ -6,18 +6,18 @@
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True):
-    """Who may act, and by which number.
+    """Who holds a lease, and its fencing number.
 
-    It holds no time of day: readers count `lease_ms` by their own monotonic
-    clock from when they first saw the row's present version.
+    It contains no time of day: readers count `lease_ms` on their own monotonic
+    clock, starting when they first saw this version of the row.
 
     Attributes:
-        holder: Empty when the lease was given back.
-        fencing: Grows with each claim.
-        write_id: The write that made this version, by which its writer
-            knows it again when the answer was lost.
+        holder: The instance that holds the lease; empty once it was released.
+        fencing: Incremented by each claim.
+        write_id: Identifies the write that made this version, so that its
+            writer recognizes it although the reply was lost.
         lease_ms: How long the holder may act on this version.
-        order_ms: The longest time from sending an order to its effect.
+        order_ms: The longest time from sending an order until it takes effect.
     """
 
     holder: ids.InstanceId
--- a/pollenfork/leases/records.py
+++ b/pollenfork/leases/records.py
@@ -1,6 +1,6 @@
-"""Rows of leases as the bytes that the store keeps.
+"""Encodes and decodes the rows of leases.
 
-Every format stays readable: a later version adds fields with defaults.
+Every format stays readable: later versions only add fields with defaults.
 """
 
 from typing import TypeVar
@@ -16,7 +16,7 @@
 
 
 class BadRow(failures.Failure, frozen=True, kw_only=True):
-    """A row that this version can't read; it is left alone."""
+    """A row that this version can't decode, and leaves unchanged."""
 
 
 def encode(row: msgspec.Struct) -> bytes:
@@ -25,12 +25,12 @@
 
 
 def decode(value: bytes, kind: type[T]) -> result.Result[T, BadRow]:
-    """Returns a row, or why this version can't read it."""
+    """Returns a row, or why this version can't decode it."""
     try:
         row = msgspec.json.decode(value, type=kind)
     except msgspec.MsgspecError as error:
         return result.Err(BadRow(detail=str(error)))
-    written = getattr(row, "format", FORMAT)
-    if written > FORMAT:
-        return result.Err(BadRow(detail=f"format {written} is too new"))
+    row_format = getattr(row, "format", FORMAT)
+    if row_format > FORMAT:
+        return result.Err(BadRow(detail=f"format {row_format} is too new"))
     return result.Ok(row)
--- a/pollenfork/platform/cloud.py
+++ b/pollenfork/platform/cloud.py
@@ -37,10 +37,10 @@
     host: str
     instance: ids.InstanceId
 
-    def write(self, task: messages.Task) -> bytes:
+    def write(self, task: messages.PlatformCall) -> bytes:
         """Returns the request that tells or orders something."""
         work = task.work
-        if isinstance(work, rows.Order):
+        if isinstance(work, rows.ScalingOrder):
             path = names.SCALING_PATH
             about = work.subject
             body = msgspec.json.encode(
--- a/pollenfork/platform/tests/soak/checks.py
+++ b/pollenfork/platform/tests/soak/checks.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from pollenfork.duties.tests import judge
+from pollenfork.duties.tests import call_rules
 from pollenfork.platform.tests.soak import caller
 from pollenfork.platform.tests.soak import runner
 from pollenfork.platform.tests.soak import site as sites
@@ -29,7 +29,7 @@
     for each in asked:
         broken += _judge(each, runs.pop(each.attempt, []), site)
     broken += [f"{attempt}: nobody asked for it" for attempt in runs]
-    broken += judge.find_broken(site.cloud.calls, sites.ALTERNATION_S)
+    broken += call_rules.find_violations(site.cloud.calls, sites.ALTERNATION_S)
     return broken + _judge_endings(site) + _judge_limits(site)
 
 
--- a/pollenfork/platform/tests/soak/cloud.py
+++ b/pollenfork/platform/tests/soak/cloud.py
@@ -7,7 +7,7 @@
 
 from pollenfork import ids
 from pollenfork.duties import messages
-from pollenfork.duties.tests import judge
+from pollenfork.duties.tests import call_rules
 
 # The rules excuse calls this soon after their sender went on, in seconds.
 _THAW_SLACK_S = 0.3
@@ -28,7 +28,7 @@
             is_excused: Returns whether a sender, by its name, has gone on
                 within some seconds after it stood still.
         """
-        self.calls: list[judge.Called] = []
+        self.calls: list[call_rules.ReceivedCall] = []
         self.up = True
         self._is_excused = is_excused
         self._server: asyncio.Server | None = None
@@ -47,7 +47,7 @@
         return {
             call.work.window: call.work.counts
             for call in self.calls
-            if isinstance(call.work, messages.Report)
+            if isinstance(call.work, messages.UsageReport)
         }
 
     async def _serve(self, reader, writer) -> None:
@@ -72,11 +72,11 @@
         counts = {ids.AccountId(k): n for k, n in body["counts"].items()}
         sender = headers["X-Pollenfork-Duty-Holder"]
         self.calls.append(
-            judge.Called(
+            call_rules.ReceivedCall(
                 time.monotonic(),
                 sender,
                 int(headers["X-Pollenfork-Fencing-Token"]),
-                messages.Report(body["window"], counts),
+                messages.UsageReport(body["window"], counts),
                 self._is_excused(sender, _THAW_SLACK_S),
             )
         )
--- a/pollenfork/platform/tests/soak/duties.py
+++ b/pollenfork/platform/tests/soak/duties.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pollenfork.duties.tests import judge
+from pollenfork.duties.tests import call_rules
 from pollenfork.platform.tests.soak import caller
 from pollenfork.platform.tests.soak import proxy
 from pollenfork.platform.tests.soak import site as sites
@@ -71,7 +71,7 @@
         if call.machine not in holders[-1:]:
             holders.append(call.machine)
     return Played(
-        judge.find_broken(site.cloud.calls, sites.ALTERNATION_S),
+        call_rules.find_violations(site.cloud.calls, sites.ALTERNATION_S),
         [window for window in range(first, last + 1) if window not in reports],
         sum(counts.get(_ACCOUNT, 0) for counts in reports.values()),
         len(site.record.runs),
--- a/pollenfork/platform/tests/test_cloud.py
+++ b/pollenfork/platform/tests/test_cloud.py
@@ -13,7 +13,9 @@
 
 
 def split(work) -> tuple[str, dict[str, str], dict]:
-    request = CLOUD.write(messages.Task(ids.FencingNumber(12), 9.0, work))
+    request = CLOUD.write(
+        messages.PlatformCall(ids.FencingNumber(12), 9.0, work)
+    )
     head, _, body = request.partition(b"\r\n\r\n")
     first, *lines = head.decode().split("\r\n")
     headers = dict(line.split(": ", 1) for line in lines)
@@ -23,7 +25,7 @@
 
 def test_a_report_names_its_holder_and_number() -> None:
     counts = {ids.AccountId("hule930"): 412}
-    first, headers, body = split(messages.Report(353445120, counts))
+    first, headers, body = split(messages.UsageReport(353445120, counts))
     assert first == "POST /usage HTTP/1.1"
     assert headers["X-Pollenfork-Duty-Holder"] == "front-a-1"
     assert headers["X-Pollenfork-Fencing-Token"] == "12"
@@ -32,10 +34,10 @@
 
 @pytest.mark.parametrize("reclaimable", [False, True])
 def test_an_order_says_which_kind_of_runners(reclaimable) -> None:
-    subject = rows.Subject(
+    subject = rows.RunnerPool(
         ids.ServiceName("s"), ids.DataCentre("a"), reclaimable
     )
-    first, _, body = split(rows.Order(subject, 6))
+    first, _, body = split(rows.ScalingOrder(subject, 6))
     assert first == "POST /scaling HTTP/1.1"
     expected = {"service": "s", "zone": "a", "desired-count": 6}
     if reclaimable:
