--- a/pollenfork/poison/crashes.py
+++ b/pollenfork/poison/crashes.py
@@ -51,7 +51,7 @@
 
     CLEAR = "clear"
     SUSPECT = "suspect"  # Sent where a crash would do the least damage.
-    UNCONFIRMED = "doubted"  # Held until its crashes are proven or disproven.
+    UNCONFIRMED = "doubted"  # Held while its crashes may yet be proven.
     QUARANTINED = "kept_back"  # Sent to no runner.
 
 
--- a/pollenfork/poison/outbox.py
+++ b/pollenfork/poison/outbox.py
@@ -70,8 +70,8 @@
             maxlen=_QUEUE_LIMIT
         )
         self._cleared: dict[ids.RequestDigest, _QueuedUpdate] = {}
-        self._allowed = _BURST
-        self._filled_at = 0.0
+        self._tokens = _BURST
+        self._refilled_at = 0.0
         self._page_from = 0
 
     def add_crash(
@@ -105,13 +105,13 @@
 
     def take(self, now: float) -> messages.Suspicions | None:
         """Returns the updates that the rate allows now, if there are any."""
-        earned = (now - self._filled_at) * _RATE
-        self._allowed = min(_BURST, self._allowed + earned)
-        self._filled_at = now
-        count = min(_UPDATES_PER_DATAGRAM, int(self._allowed))
+        earned = (now - self._refilled_at) * _RATE
+        self._tokens = min(_BURST, self._tokens + earned)
+        self._refilled_at = now
+        count = min(_UPDATES_PER_DATAGRAM, int(self._tokens))
         taken = [*self._take_newest(self._urgent, count)]
         taken += self._take_newest(self._ordinary, count - len(taken))
-        self._allowed -= len(taken)
+        self._tokens -= len(taken)
         return (
             _pack([each.to_message(now) for each in taken]) if taken else None
         )
