--- a/pollenfork/poison/records.py
+++ b/pollenfork/poison/records.py
@@ -97,7 +97,7 @@
     except (msgspec.MsgspecError, ValueError) as error:
         return result.Err(BadRecord(detail=str(error)))
     if not 0 <= digest < _LARGEST_DIGEST or not record.ends:
-        return result.Err(BadRecord(detail="out of range"))
+        return result.Err(BadRecord(detail="digest out of range or no crashes"))
     decoded = [
         crashes.Crash(
             each.place,
