--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the configuration and of the runners."""
+"""An instance's view of the configuration and the runners."""
 
 import collections
 import logging
@@ -23,24 +23,28 @@
 
 
 class ClusterState:
-    """Takes rows of the store; answers what they mean.
+    """Decodes rows of the store and holds the state that they describe.
 
     Attributes:
         lookup: The configuration in force; None before the first.
-        freshness: How old it may be.
+        freshness: How old the configuration may be.
         runners: The runners of all services.
-        has_runners: Whether the registry has been read whole.
-        refused_entries: How many rows named no runner, by why.
-        configuration_news: What is told of the configuration's changes.
-        runners_news: What is told of the runners' changes.
+        has_runners: Whether the registry has been read completely.
+        refused_entries: The number of rows that were no valid runner entries,
+            by fault.
+        configuration_versions: Versions of the configuration, here and at
+            peers.
+        runners_versions: Versions of the runners' table, here and at peers.
     """
 
-    # How old a relay's proof may be for others to go by its word. News must be
-    # in force 2 s after the store has it, and the store still has to be asked
-    # where the relay doesn't hear it.
-    _RELAY_S = 1.5
-    # How old others' proof may be for a relay to let the store hold its calls.
-    _PROVEN_S = 1.0
+    # The maximum age of a relay's proof, in seconds, for other instances to
+    # rely on the relay. A change must be in force 2 s after the store has it,
+    # which leaves time to ask the store if the relay doesn't receive the
+    # change.
+    _RELAY_PROOF_LIMIT_S = 1.5
+    # The maximum age of peers' proof, in seconds, for a relay to let the store
+    # hold its calls.
+    _PEER_PROOF_LIMIT_S = 1.0
 
     def __init__(
         self,
@@ -61,16 +65,16 @@
         self.configuration_versions = version_tracker.VersionTracker()
         self.runners_versions = version_tracker.VersionTracker()
 
-    def note_current(self, moment: float) -> None:
-        """Takes this instance's own proof that the configuration is current."""
+    def record_current(self, moment: float) -> None:
+        """Records this instance's own proof of a current configuration."""
         self.freshness.vouch(moment)
 
-    def note_failure(self, sent_at: float) -> None:
-        """Takes a call that the store didn't answer, sent at that moment."""
+    def record_store_failure(self, sent_at: float) -> None:
+        """Records that the store didn't answer a call sent at that time."""
         self._outages.note_failure(sent_at)
 
-    def note_answer(self, moment: float) -> None:
-        """Takes a moment at which the store answered this or another one."""
+    def record_store_answer(self, moment: float) -> None:
+        """Records when the store answered this or another instance."""
         until = self._outages.note_answer(moment)
         if until is None:
             return
@@ -78,10 +82,11 @@
         _LOG.info("event=outage_over kept_for_ms=%d", (until - moment) * 1000)
 
     def write_proof(self, now: float) -> messages.Proof | None:
-        """Returns what this instance knows and up to when that was proven.
+        """Returns the versions known here and the age of their proof.
 
-        The proof may be another's. Each that passes it on counts from before
-        it was told, so it only grows older on its way, also in a circle.
+        The proof may originate from another instance. Each instance that
+        forwards it measures its age from before it was sent, so the age only
+        grows on the way, even if the proof comes back to its origin.
         """
         age_s = self.freshness.age(now)
         if age_s is None:
@@ -94,39 +99,42 @@
         )
 
     def take_proof(
-        self, proof: messages.Proof, moment: float, teller: str
+        self, proof: messages.Proof, moment: float, sender: str
     ) -> None:
-        """Takes what a relay has read and up to when it was surely current.
+        """Records which versions a relay has read and proven current.
 
         Args:
-            proof: What it has read.
-            moment: Monotonic seconds here.
-            teller: The relay's host.
+            proof: The versions.
+            moment: The time up to which they were proven to be current, in
+                monotonic seconds of this process.
+            sender: The relay's host.
         """
-        self.take_versions(proof, teller)
-        self.note_answer(moment)
+        self.take_versions(proof, sender)
+        self.record_store_answer(moment)
         if self._proof_at is None or moment > self._proof_at:
             self._proof_at = moment
         if proof.configuration <= self.configuration_versions.through:
             self.freshness.vouch(moment)
 
-    def take_versions(self, proof: messages.Proof, teller: str) -> None:
-        """Takes what another instance has read, whenever that was."""
-        self.configuration_versions.note_announced(proof.configuration, teller)
-        self.runners_versions.note_announced(proof.runners, teller)
+    def take_versions(self, proof: messages.Proof, sender: str) -> None:
+        """Records which versions another instance has read, at any time."""
+        self.configuration_versions.record_announced(
+            proof.configuration, sender
+        )
+        self.runners_versions.record_announced(proof.runners, sender)
 
-    def pass_over(self, teller: str) -> None:
-        """Takes that another instance doesn't answer."""
-        self.configuration_versions.pass_over(teller)
-        self.runners_versions.pass_over(teller)
+    def pass_over(self, sender: str) -> None:
+        """Skips an instance that doesn't answer."""
+        self.configuration_versions.pass_over(sender)
+        self.runners_versions.pass_over(sender)
 
     def follows_relay(self, now: float) -> bool:
-        """Returns whether a relay's word is recent enough to go by."""
-        return self._is_proof_within(self._RELAY_S, now)
+        """Returns whether a relay's proof is recent enough to rely on it."""
+        return self._is_proof_within(self._RELAY_PROOF_LIMIT_S, now)
 
     def is_proven_by_others(self, now: float) -> bool:
-        """Returns whether others' proof is recent enough to need no own."""
-        return self._is_proof_within(self._PROVEN_S, now)
+        """Returns whether peers' proof is recent enough to need no own."""
+        return self._is_proof_within(self._PEER_PROOF_LIMIT_S, now)
 
     def _is_proof_within(self, limit_s: float, now: float) -> bool:
         at = self._proof_at
@@ -165,7 +173,7 @@
             )
 
     def take_runners(self, changes: catalogue.Changes, now: float) -> None:
-        """Takes runners that came, changed or left."""
+        """Applies added, changed and removed runner entries."""
         self.has_runners = True
         self.runners_versions.take(changes)
         for row in changes.rows:
@@ -197,7 +205,7 @@
             )
 
     def expire_runners(self, now: float) -> None:
-        """Drops the runners whose entries lapsed and didn't come back."""
+        """Drops runners whose entries expired and were not renewed in time."""
         for runner in self.runners.expire(now):
             _LOG.info("event=runner_gone runner=%s row=- kept=True", runner)
 
@@ -226,7 +234,7 @@
     def _refuse_entry(
         self, row: catalogue.Row, bad: fleet_errors.BadEntry
     ) -> None:
-        """Takes an entry that names no runner, nor one that it did before."""
+        """Drops the runner of an entry that can no longer be decoded."""
         self.runners.drop(ids.EndpointId(row.key))
         self.refused_entries[bad.fault] += 1
         _LOG.error(
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -1,8 +1,9 @@
-"""Follows the store's tables: makes the calls that a watch decides on.
+"""Follows a table of the store by making the calls that a watch decides on.
 
-While a relay's word is recent, an instance makes no calls: it asks the relay
-for a table when there is news. Where that doesn't answer at once, the store and
-another relay are asked beside it, as packets may wait on the way to all.
+While a relay's proof is recent, an instance doesn't call the store; it fetches
+the table from the relay when the relay announces a newer version. If the relay
+doesn't answer promptly, the store and another relay are asked in parallel,
+because packets may be delayed on any of the links.
 """
 
 import asyncio
@@ -22,17 +23,18 @@
 
 _LOG = logging.getLogger(__name__)
 
-# How often a follower that waits for another looks again, in seconds.
-_LOOK_S = 0.1
-# The store may answer a little before the wait is quite over.
-_WAITED_PART = 0.98
-# A relay answers at once; beside one that doesn't, others are asked.
+# Seconds between polls while waiting for another follower.
+_POLL_S = 0.1
+# The store may answer slightly before the requested wait has elapsed.
+_WAIT_FRACTION = 0.98
+# A relay normally answers immediately. After this many seconds without an
+# answer, other sources are asked in parallel.
 _RELAY_TIMEOUT_S = 0.25
-# Its answer still counts for this long, in seconds: where packets wait on the
-# link for up to 0.5 s, a new connection and an answer take twice as long.
-_RELAY_LATEST_S = 1.5
-# Relays to which connections are kept.
-_RELAYS_KEPT = 3
+# Seconds for which a late answer of a relay is still accepted: where packets
+# queue on the link for up to 0.5 s, connecting and answering take twice that.
+_RELAY_CALL_TIMEOUT_S = 1.5
+# The number of relays to which connections are kept open.
+_MAX_RELAY_CLIENTS = 3
 _OK = 200
 
 Write = Callable[[catalogue.Ask], bytes]
@@ -42,12 +44,13 @@
 
 
 class SourceChoice(msgspec.Struct, frozen=True):
-    """Whom to ask.
+    """Where to fetch the table from.
 
     Attributes:
         relay: The instance to ask instead of the store; None: the store.
-        news: Whether the relay knows something newer.
-        at_once: Whether the store's next answer must not be waited for.
+        news: Whether the relay has a newer version.
+        at_once: Whether the store's next call must return without waiting for
+            a change.
     """
 
     relay: settings.Address | None = None
@@ -56,24 +59,24 @@
 
 
 class Follower:
-    """Keeps one table followed."""
+    """Keeps this instance's copy of one table up to date."""
 
     def __init__(
         self,
         table: tables.Table,
         address: settings.Address,
         watched: watch.Watch,
-        rest_s: float,
+        cooldown_s: float,
         write: Write,
         read: ReadRows,
     ) -> None:
-        """Takes what it needs.
+        """Creates a follower that hasn't read anything yet.
 
         Args:
-            table: The table.
-            address: The store's.
-            watched: Decides on the calls.
-            rest_s: Seconds between a change and the next call.
+            table: The table to follow.
+            address: The store's address.
+            watched: Decides which call to make next.
+            cooldown_s: Seconds between a change and the next call.
             write: Encodes a call.
             read: Decodes an answer.
         """
@@ -81,19 +84,21 @@
         self._table = table
         self._store = client.Client(address)
         self._relays: dict[settings.Address, client.Client] = {}
-        self._late: dict[settings.Address, asyncio.Task[client.Answer | None]]
-        self._late = {}
-        self._beside: asyncio.Task[float] | None = None
-        self._lacking_since: float | None = None
-        self._guide = SourceChoice()
+        self._late_calls: dict[
+            settings.Address, asyncio.Task[client.Answer | None]
+        ]
+        self._late_calls = {}
+        self._parallel_call: asyncio.Task[float] | None = None
+        self._missing_since: float | None = None
+        self._source = SourceChoice()
         self._woken = asyncio.Event()
         self._watch = watched
-        self._rest_s = rest_s
-        self._hurried = False
+        self._cooldown_s = cooldown_s
+        self._store_requested = False
         self._waiting = False
         self._calling = False
-        self._silent: str | None = None
-        self._other: Follower | None = None
+        self._unresponsive: str | None = None
+        self._deferred_to: Follower | None = None
         self._write = write
         self._read = read
         self._on_changes: list[Callable[[catalogue.Changes], None]] = []
@@ -102,144 +107,151 @@
         self._on_answer: list[Callable[[float], None]] = []
         self._on_failure: list[Callable[[float], None]] = []
 
-    def when_changed(self, call: Callable[[catalogue.Changes], None]) -> None:
-        """Calls `call` with what changed."""
-        self._on_changes.append(call)
+    def when_changed(
+        self, callback: Callable[[catalogue.Changes], None]
+    ) -> None:
+        """Calls `callback` with every set of changes."""
+        self._on_changes.append(callback)
 
-    def when_current(self, call: Callable[[float], None]) -> None:
-        """Calls `call` with a moment up to which nothing is unknown."""
-        self._on_current.append(call)
+    def when_current(self, callback: Callable[[float], None]) -> None:
+        """Calls `callback` with a time up to which the copy is complete."""
+        self._on_current.append(callback)
 
-    def when_troubled(self, call: Callable[[bool], None]) -> None:
-        """Calls `call` with True when the store is lost, False when back."""
-        self._on_trouble.append(call)
+    def when_troubled(self, callback: Callable[[bool], None]) -> None:
+        """Calls `callback` with whether the store is lost, on each change."""
+        self._on_trouble.append(callback)
 
-    def when_answered(self, call: Callable[[float], None]) -> None:
-        """Calls `call` with when the store answered, before what it said."""
-        self._on_answer.append(call)
+    def when_answered(self, callback: Callable[[float], None]) -> None:
+        """Calls `callback` with the time of an answer, before its changes."""
+        self._on_answer.append(callback)
 
-    def when_failed(self, call: Callable[[float], None]) -> None:
-        """Calls `call` with when a call was sent that it didn't answer."""
-        self._on_failure.append(call)
+    def when_failed(self, callback: Callable[[float], None]) -> None:
+        """Calls `callback` with the time at which a failed call was sent."""
+        self._on_failure.append(callback)
 
-    def set_source(self, guide: SourceChoice) -> None:
-        """Takes whom to ask from now on."""
-        if guide == self._guide:
+    def set_source(self, source: SourceChoice) -> None:
+        """Sets where to fetch the table from."""
+        if source == self._source:
             return
-        if guide.at_once and not self._guide.at_once:
+        if source.at_once and not self._source.at_once:
             self._watch.ask_at_once()
-        self._guide = guide
+        self._source = source
         self._woken.set()
-        if guide.news and self._lacking_since is None:
-            self._lacking_since = self._loop.time()
-        if guide.relay is not None and self._watch.troubled:
+        if source.news and self._missing_since is None:
+            self._missing_since = self._loop.time()
+        if source.relay is not None and self._watch.troubled:
             self._watch.forget_trouble()
             _LOG.info(
                 "event=store_bypassed table=%s relay=%s",
                 self._table.value,
-                guide.relay.host,
+                source.relay.host,
             )
-        if guide.news and guide.relay is not None and self._calling:
-            # The relay knows already what this call waits for, and the store
-            # may be silent to this instance.
+        if source.news and source.relay is not None and self._calling:
+            # The relay already has what this call waits for, and the store may
+            # not be answering this instance.
             self._store.break_off()
 
     def take_unresponsive(self) -> str | None:
-        """Returns the host that didn't answer since the last call, if any."""
-        silent, self._silent = self._silent, None
-        return silent
+        """Returns and clears the relay that last failed to answer, if any."""
+        unresponsive, self._unresponsive = self._unresponsive, None
+        return unresponsive
 
     @property
-    def troubled(self) -> bool:
-        """Whether the last call brought nothing."""
+    def failing(self) -> bool:
+        """Whether the last call to the store failed."""
         return self._watch.troubled
 
-    def wait_for(self, other: "Follower") -> None:
-        """Makes no calls while another follower's bring nothing."""
-        self._other = other
+    def defer_to(self, other: "Follower") -> None:
+        """Suspends calls to the store while another follower's calls fail."""
+        self._deferred_to = other
 
     async def run(self) -> None:
         """Follows the table until cancelled."""
         try:
             await self._follow()
         finally:
-            for task in (self._beside, *self._late.values()):
+            for task in (self._parallel_call, *self._late_calls.values()):
                 if task is not None:
                     task.cancel()
 
     async def _follow(self) -> None:
         while True:
-            guide = self._guide
-            # News is fetched from whoever has it before the store is asked,
-            # which may be silent to this instance for as long as it waits.
-            if guide.relay is not None and (guide.news or not self._hurried):
-                fetched = await self._follow_relay(guide.relay)
-                if fetched or not self._hurried:
+            source = self._source
+            # A newer version is fetched from the instance that has it before
+            # the store is asked: the store may not answer this instance until
+            # the call times out.
+            if source.relay is not None and (
+                source.news or not self._store_requested
+            ):
+                fetched = await self._follow_relay(source.relay)
+                if fetched or not self._store_requested:
                     continue
-            if self._beside is not None:
-                await asyncio.wait({self._beside})
+            if self._parallel_call is not None:
+                await asyncio.wait({self._parallel_call})
                 continue
-            if self._must_wait():
-                await asyncio.sleep(_LOOK_S)
+            if self._must_defer():
+                await asyncio.sleep(_POLL_S)
                 continue
             pause_s = await self._call_once()
             if pause_s:
                 await asyncio.sleep(pause_s)
 
-    def _must_wait(self) -> bool:
-        """Returns whether another follower finds out if the store is back."""
+    def _must_defer(self) -> bool:
+        """Returns whether another follower checks if the store is back."""
         return (
-            self._guide.relay is None
-            and self._other is not None
-            and self._other.troubled
+            self._source.relay is None
+            and self._deferred_to is not None
+            and self._deferred_to.failing
         )
 
     def set_wait(self, wait_s: float) -> None:
-        """Sets how long the store may hold the next calls, in seconds."""
+        """Sets for how many seconds the store may hold the next calls."""
         self._watch.wait_s = wait_s
 
     def ask_store_now(self) -> None:
-        """Asks the store at once; gives up a call that waits for it."""
+        """Asks the store immediately, breaking off a call that is waiting."""
         if self._waiting:
-            self._hurried = True
+            self._store_requested = True
             self._store.break_off()
-        elif self._guide.relay is not None:
-            self._hurried = True
+        elif self._source.relay is not None:
+            self._store_requested = True
             self._watch.ask_at_once()
             self._woken.set()
 
     async def _follow_relay(self, relay: settings.Address) -> bool:
-        """Waits for news at the relay, or fetches it.
+        """Waits until the relay has a newer version, or fetches it.
 
         Returns:
-            False where it was to be fetched and didn't come.
+            False if the newer version could not be fetched.
         """
-        if not self._guide.news:
+        if not self._source.news:
             self._woken.clear()
             await self._woken.wait()
             return True
         changes = await self._ask_relay(relay)
         if changes is None:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
             return False
         self._take_changes(changes)
         return True
 
     def _take_changes(self, changes: catalogue.Changes) -> None:
-        self._guide = SourceChoice(self._guide.relay)
-        self._lacking_since = None
-        for tell in self._on_changes:
-            tell(changes)
+        self._source = SourceChoice(self._source.relay)
+        self._missing_since = None
+        for on_changes in self._on_changes:
+            on_changes(changes)
 
     async def _ask_relay(
         self, relay: settings.Address
     ) -> catalogue.Changes | None:
-        """Returns what changed; None where the relay brought nothing new."""
-        if relay in self._late:
+        """Returns what changed, or None if the relay had nothing newer."""
+        if relay in self._late_calls:
             return None
-        asked = self._find_client(relay)
+        asked = self._get_client(relay)
         request = tables.write_ask(self._table)
-        asking = self._loop.create_task(asked.call(request, _RELAY_LATEST_S))
+        asking = self._loop.create_task(
+            asked.call(request, _RELAY_CALL_TIMEOUT_S)
+        )
         try:
             await asyncio.wait({asking}, timeout=_RELAY_TIMEOUT_S)
         except asyncio.CancelledError:
@@ -248,13 +260,13 @@
         if asking.done() and asking.result() is not None:
             return self._read_answer(relay, asking.result())
         if not asking.done():
-            self._late[relay] = asking
+            self._late_calls[relay] = asking
             asking.add_done_callback(
                 functools.partial(self._on_late_answer, relay)
             )
-        self._silent = relay.host
-        self._log_silent(relay, None)
-        self._ask_store_beside()
+        self._unresponsive = relay.host
+        self._log_no_answer(relay, None)
+        self._ask_store_in_parallel()
         return None
 
     def _on_late_answer(
@@ -262,36 +274,40 @@
         relay: settings.Address,
         asking: asyncio.Task[client.Answer | None],
     ) -> None:
-        """Takes what a relay brings that was given up on."""
-        del self._late[relay]
+        """Handles an answer that arrives after `_RELAY_TIMEOUT_S`."""
+        del self._late_calls[relay]
         if asking.cancelled() or asking.result() is None:
             return
         changes = self._read_answer(relay, asking.result())
         if changes is not None:
             self._take_changes(changes)
 
-    def _ask_store_beside(self) -> None:
-        """Asks the store for what is there now, unless it is being asked."""
-        if self._beside is not None:
+    def _ask_store_in_parallel(self) -> None:
+        """Reads the store's current state in parallel, one call at a time."""
+        if self._parallel_call is not None:
             return
         self._watch.ask_at_once()
-        self._beside = self._loop.create_task(self._call_once(breakable=False))
-        self._beside.add_done_callback(self._on_asked_beside)
+        self._parallel_call = self._loop.create_task(
+            self._call_once(breakable=False)
+        )
+        self._parallel_call.add_done_callback(self._on_parallel_call_done)
 
-    def _on_asked_beside(self, asking: asyncio.Task[float]) -> None:
-        self._beside = None
+    def _on_parallel_call_done(self, asking: asyncio.Task[float]) -> None:
+        self._parallel_call = None
 
-    def _find_client(self, relay: settings.Address) -> client.Client:
-        """Returns a client whose connection is kept, the newest ones."""
+    def _get_client(self, relay: settings.Address) -> client.Client:
+        """Returns the relay's client; closes the least recently used ones."""
         found = self._relays.pop(relay, None) or client.Client(relay)
         self._relays[relay] = found
-        for address in list(self._relays)[:-_RELAYS_KEPT]:
+        for address in list(self._relays)[:-_MAX_RELAY_CLIENTS]:
             self._relays.pop(address).close()
         return found
 
-    def _log_silent(self, relay: settings.Address, status: int | None) -> None:
-        since = self._lacking_since
-        lacking_s = 0.0 if since is None else self._loop.time() - since
+    def _log_no_answer(
+        self, relay: settings.Address, status: int | None
+    ) -> None:
+        since = self._missing_since
+        missing_s = 0.0 if since is None else self._loop.time() - since
         _LOG.warning(
             "event=relay_silent table=%s relay=%s status=%s known=%s "
             "lacking_ms=%d",
@@ -299,14 +315,14 @@
             relay.host,
             status or "-",
             self._watch.version,
-            lacking_s * 1000,
+            missing_s * 1000,
         )
 
     def _read_answer(
         self, relay: settings.Address, answer: client.Answer | None
     ) -> catalogue.Changes | None:
         if answer is None or answer[0] != _OK:
-            self._log_silent(relay, answer[0] if answer else None)
+            self._log_no_answer(relay, answer[0] if answer else None)
             return None
         read = shelf.read(answer[1])
         if isinstance(read, result.Err):
@@ -320,10 +336,11 @@
         return self._watch.take_table(read.ok_value)
 
     async def _call_once(self, breakable: bool = True) -> float:
-        """Calls the store; returns seconds until the next call.
+        """Calls the store and returns the seconds until the next call.
 
         Args:
-            breakable: Whether the call is given up when a relay has news.
+            breakable: Whether the call is broken off when a relay has a newer
+                version.
         """
         ask = self._watch.next_ask()
         sent_at = self._loop.time()
@@ -331,43 +348,44 @@
         self._calling = breakable
         answer = await self._call(ask)
         self._waiting = self._calling = False
-        hurried, self._hurried = self._hurried, False
+        store_requested, self._store_requested = self._store_requested, False
         if isinstance(answer, result.Err):
-            if hurried and ask.wait_s > 0.0:
+            if store_requested and ask.wait_s > 0.0:
                 self._watch.ask_at_once()
-                self._hurried = self._guide.relay is not None
+                self._store_requested = self._source.relay is not None
                 return 0.0
-            if self._guide.relay is not None and self._guide.news:
+            if self._source.relay is not None and self._source.news:
                 return 0.0
-            return self._take_trouble(answer.err_value, sent_at)
+            return self._handle_trouble(answer.err_value, sent_at)
         rows = answer.ok_value
         if self._watch.is_stale(rows):
-            return self._take_trouble(catalogue.Trouble.STALE, sent_at)
-        for note in self._on_answer:
-            note(self._loop.time())
-        self._note_back()
+            return self._handle_trouble(catalogue.Trouble.STALE, sent_at)
+        for on_answer in self._on_answer:
+            on_answer(self._loop.time())
+        self._note_recovery()
         changes = self._watch.take_rows(ask, rows)
         if changes is None:
             return 0.0
         if breakable or changes.rows:
-            for tell in self._on_changes:
-                tell(changes)
-        moment = self._find_moment(ask, rows, sent_at)
-        for vouch in self._on_current:
-            vouch(moment)
-        return self._rest_s if changes.rows else 0.0
-
-    def _find_moment(
+            for on_changes in self._on_changes:
+                on_changes(changes)
+        moment = self._find_proven_until(ask, rows, sent_at)
+        for on_current in self._on_current:
+            on_current(moment)
+        return self._cooldown_s if changes.rows else 0.0
+
+    def _find_proven_until(
         self, ask: catalogue.Ask, rows: catalogue.Rows, sent_at: float
     ) -> float:
-        """Returns up to when the answer proves that all is known.
+        """Returns the time up to which the answer proves the copy complete.
 
-        An answer without rows was held for the whole wait, and was right at
-        the end of it; of any other, only the sending is sure to precede it.
+        An answer without rows was held for the whole wait, so it was true at
+        the end of the wait. Any other answer may have been produced right
+        after the call was sent.
         """
         waited_s = self._loop.time() - sent_at
-        if not rows.rows and waited_s >= ask.wait_s * _WAITED_PART:
-            return sent_at + ask.wait_s * _WAITED_PART
+        if not rows.rows and waited_s >= ask.wait_s * _WAIT_FRACTION:
+            return sent_at + ask.wait_s * _WAIT_FRACTION
         return sent_at
 
     async def _call(
@@ -378,15 +396,15 @@
             return result.Err(catalogue.Trouble.NO_ANSWER)
         return self._read(*answer)
 
-    def _take_trouble(
+    def _handle_trouble(
         self, trouble: catalogue.Trouble, sent_at: float
     ) -> float:
         if trouble.is_failure:
-            for note in self._on_failure:
-                note(sent_at)
+            for on_failure in self._on_failure:
+                on_failure(sent_at)
         else:
-            for note in self._on_answer:
-                note(self._loop.time())
+            for on_answer in self._on_answer:
+                on_answer(self._loop.time())
         was_troubled = self._watch.troubled
         pause_s = self._watch.take_trouble(trouble)
         if self._watch.troubled and not was_troubled:
@@ -395,15 +413,15 @@
                 self._table.value,
                 trouble.value,
             )
-            for tell in self._on_trouble:
-                tell(True)
+            for on_trouble in self._on_trouble:
+                on_trouble(True)
         elif trouble is catalogue.Trouble.HISTORY_GONE:
             _LOG.info("event=history_gone table=%s", self._table.value)
         return pause_s
 
-    def _note_back(self) -> None:
+    def _note_recovery(self) -> None:
         if not self._watch.troubled:
             return
         _LOG.info("event=store_back table=%s", self._table.value)
-        for tell in self._on_trouble:
-            tell(False)
+        for on_trouble in self._on_trouble:
+            on_trouble(False)
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -1,4 +1,4 @@
-"""Where an instance hears of the configuration and of runners."""
+"""Chooses from where an instance reads the configuration and the runners."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,28 +15,30 @@
 from pollenfork.gateway import tables
 from pollenfork.gateway import version_tracker
 
-# How long the store holds a call when nothing changes, in seconds. The
-# configuration's calls also prove that keys still hold, which must be known
-# every few seconds; the runners' calls need only be woken.
+# For how many seconds the store may hold a call when nothing changes. The
+# configuration's calls also prove that keys are still valid, which must be
+# known every few seconds; the runners' calls only have to return on a change.
 _CONFIGURATION_WAIT_S = 0.6
-# Where another one proves that, calls need only be woken.
+# While another instance provides that proof, the configuration's calls only
+# have to return on a change as well.
 _PROVEN_WAIT_S = 20.0
-# A relay that stopped hearing of runners without notice would keep its whole
-# data centre from hearing of them, so its calls are shorter.
+# A relay that stopped receiving changes of runners without noticing would cut
+# off its whole data centre, so its calls are shorter.
 _RUNNERS_WAIT_S = 20.0
 _RELAY_RUNNERS_WAIT_S = 4.0
-# Without proof for this long an instance asks the store itself, in seconds.
-# Where a relay is lost another one is found after 1.2 s; and the store needs
-# time to answer before keys are no longer trusted, after 3.8 s.
-_HURRY_S = 2.9
-# The same for a relay: those that report to it leave it soon after. The first
-# relay's proof is 0.6 s old at most, and told after 0.3 s.
-_RELAY_HURRY_S = 1.1
-# A new relay whose own proof is older than this asks for one at once, as those
-# that report to it would call the store themselves soon.
+# After this many seconds without proof an instance asks the store itself. If a
+# relay is lost, another one is chosen after 1.2 s; and the store needs time to
+# answer before keys are no longer trusted, after 3.8 s.
+_PROOF_TIMEOUT_S = 2.9
+# The same for a relay, as its reporters stop relying on it soon after. The
+# first relay's proof is at most 0.6 s old, and arrives within 0.3 s.
+_RELAY_PROOF_TIMEOUT_S = 1.1
+# A new relay whose own proof is older than this asks for one immediately, as
+# its reporters would otherwise soon call the store themselves.
 _OVERDUE_S = 1.0
-# Pauses after a table's change, in seconds, so that changes in a row wake
-# each instance once; short against the bounds of some seconds.
+# Pauses after a change of a table, in seconds, so that consecutive changes
+# reach each instance in one answer. They are short compared to the bounds of
+# some seconds within which changes must be in force.
 _CONFIGURATION_REST_S = 0.2
 _RUNNERS_REST_S = 0.8
 
@@ -45,7 +47,7 @@
     """Follows both tables, at the store or at a relay.
 
     Attributes:
-        tables: What is known, for other instances.
+        tables: The copies of the tables that other instances may request.
     """
 
     def __init__(
@@ -55,13 +57,13 @@
         known: cluster_state.ClusterState,
         rng: random.Random,
     ) -> None:
-        """Takes what it needs.
+        """Creates followers of both tables; `start` runs them.
 
         Args:
-            address: The store's.
+            address: The store's address.
             store: Decodes and encodes the store's calls.
-            known: Is told what changes.
-            rng: Spreads what must not happen everywhere at once.
+            known: Receives the changes.
+            rng: Spreads retries of many instances over time.
         """
         self._loop = asyncio.get_running_loop()
         self._address = address
@@ -81,31 +83,31 @@
         )
         self._connect()
 
-    def when_configured(self, call: Callable[[], None]) -> None:
-        """Calls `call` after each change of the configuration."""
-        self._configuration.when_changed(lambda changes: call())
+    def when_configured(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` after each change of the configuration."""
+        self._configuration.when_changed(lambda changes: callback())
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Begins to follow; returns the tasks to cancel at the end."""
+        """Starts to follow; returns the tasks to cancel at the end."""
         followers = (self._configuration, self._runners)
         return [self._loop.create_task(each.run()) for each in followers]
 
     def choose(self, others: peers.Peers) -> None:
-        """Decides whether the store is followed, or a relay that does.
+        """Chooses whether to follow the store or a relay.
 
         Args:
-            others: Tells who relays.
+            others: Knows which instances are relays.
         """
         now = self._loop.time()
         known = self._known
         for follower in (self._configuration, self._runners):
-            silent = follower.take_unresponsive()
-            if silent is not None:
-                others.pass_over(silent)
-                known.pass_over(silent)
-        prover = others.find_prover(now)
-        self._guide(others, now)
-        proven = prover is not None and known.is_proven_by_others(now)
+            unresponsive = follower.take_unresponsive()
+            if unresponsive is not None:
+                others.pass_over(unresponsive)
+                known.pass_over(unresponsive)
+        poller = others.find_store_poller(now)
+        self._update_sources(others, now)
+        proven = poller is not None and known.is_proven_by_others(now)
         self._configuration.set_wait(
             _PROVEN_WAIT_S if proven else _CONFIGURATION_WAIT_S
         )
@@ -114,14 +116,14 @@
         if known.runners_versions.is_behind(now):
             self._runners.ask_store_now()
 
-    def _guide(self, others: peers.Peers, now: float) -> None:
-        """Tells both followers whom to ask."""
+    def _update_sources(self, others: peers.Peers, now: float) -> None:
+        """Sets where both followers fetch their tables from."""
         known = self._known
         relay = others.find_relay(now)
         age_s = known.freshness.age(now) or 0.0
         relays = relay is None
         followed = relay if known.follows_relay(now) else None
-        configuration = _choose_guide(
+        configuration = _choose_source(
             known.configuration_versions, followed, others, now
         )
         overdue = configuration.relay is None and age_s > _OVERDUE_S
@@ -129,12 +131,12 @@
             msgspec.structs.replace(configuration, at_once=overdue)
         )
         self._runners.set_source(
-            _choose_guide(known.runners_versions, followed, others, now)
+            _choose_source(known.runners_versions, followed, others, now)
         )
         self._runners.set_wait(
             _RELAY_RUNNERS_WAIT_S if relays else _RUNNERS_WAIT_S
         )
-        if age_s > (_RELAY_HURRY_S if relays else _HURRY_S):
+        if age_s > (_RELAY_PROOF_TIMEOUT_S if relays else _PROOF_TIMEOUT_S):
             self._configuration.ask_store_now()
 
     def _make_follower(
@@ -143,60 +145,60 @@
         times: tuple[float, float],
         write: following.Write,
     ) -> following.Follower:
-        wait_s, rest_s = times
+        wait_s, cooldown_s = times
         follower = following.Follower(
             table,
             self._address,
             watch.Watch(self._rng, wait_s),
-            rest_s,
+            cooldown_s,
             write,
             self._store.read_rows,
         )
         follower.when_changed(lambda changes: self.tables.take(table, changes))
-        follower.when_answered(self._known.note_answer)
-        follower.when_failed(self._known.note_failure)
+        follower.when_answered(self._known.record_store_answer)
+        follower.when_failed(self._known.record_store_failure)
         return follower
 
     def _connect(self) -> None:
         configuration, runners = self._configuration, self._runners
         known = self._known
         configuration.when_changed(known.take_configuration)
-        configuration.when_current(known.note_current)
+        configuration.when_current(known.record_current)
         runners.when_changed(
             lambda changes: known.take_runners(changes, self._loop.time())
         )
-        # The runners' call may wait on a path that is gone without notice;
-        # the configuration's calls are short enough to tell.
+        # The runners' call may be waiting on a connection that has broken
+        # unnoticed; the configuration's calls are short enough to detect it.
         configuration.when_troubled(lambda lost: runners.ask_store_now())
-        # One table is enough to find out that the store is back.
-        runners.wait_for(configuration)
+        # One follower is enough to find out that the store is back.
+        runners.defer_to(configuration)
 
 
-def _choose_guide(
+def _choose_source(
     table: version_tracker.VersionTracker,
     relay: settings.Address | None,
     others: peers.Peers,
     now: float,
 ) -> following.SourceChoice:
-    """Returns whom to ask for a table.
+    """Returns where to fetch a table from.
 
     Args:
-        table: What is told of it.
-        relay: The relay to go by, if any.
-        others: Knows where instances listen.
+        table: The versions of the table, here and at peers.
+        relay: The relay to rely on, if any.
+        others: Knows the addresses of instances.
         now: Monotonic seconds.
     """
     newer = table.is_newer_elsewhere
-    teller = others.locate(table.teller)
+    sender = others.locate(table.sender)
     if relay is None:
-        # The store may turn this one away and not the one that told of the
-        # news. That is asked, however old its proof: its rows are newer all
-        # the same.
+        # The store may refuse this instance but not the one that announced the
+        # newer version. That one is asked, regardless of the age of its proof,
+        # because its rows are newer in any case.
         return following.SourceChoice(
-            teller if table.is_store_late(now) else None, newer
+            sender if table.is_store_late(now) else None, newer
         )
-    if newer and teller is not None and teller != relay:
+    if newer and sender is not None and sender != relay:
         if not table.is_relay_late(now):
             return following.SourceChoice(relay)
-        return following.SourceChoice(teller, news=True)
+        return following.SourceChoice(sender, news=True)
     return following.SourceChoice(relay, newer)
--- a/pollenfork/gateway/tests/test_budget.py
+++ b/pollenfork/gateway/tests/test_budget.py
@@ -1,7 +1,7 @@
-"""The worst case of each way of news, added up from the code's constants.
+"""Checks the worst-case time of each path by which a change spreads.
 
-`docs/design/news.md` shows the same sums; a constant that is changed without
-its bound fails here.
+The times are added up from the code's constants. `docs/design/news.md` shows
+the same sums, so changing a constant without its documented bound fails here.
 """
 
 import pathlib
@@ -15,32 +15,33 @@
 from pollenfork.loads import core
 from pollenfork.loads import lines
 
-# The strictest deployment allows this from the store's acknowledgement of a
-# leaving to the last request sent to the runner, in seconds.
+# The strictest deployment's limit, in seconds, from the store's acknowledgement
+# that a runner leaves to the last request sent to that runner.
 _BOUND_S = 2.0
-# The store's answer, a datagram's way and a table fetched from an instance
-# nearby take some milliseconds each, on a busy machine this much, in seconds.
+# An answer of the store, a datagram and fetching a table from a nearby instance
+# take some milliseconds each; on a busy machine this many seconds.
 _CALL_S = 0.02
 _REST_S = sources._RUNNERS_REST_S
 _LACKING_S = version_tracker.VersionTracker.LACKING_S
-# Told at the next period, and looked at in the next one there.
+# Sent in the sender's next period, and handled in the receiver's next one.
 _TELL_S = 2 * core.PERIOD_S + _CALL_S
 _FROM_STORE_S = _REST_S + _CALL_S
 _TO_REPORTER_S = _TELL_S + _CALL_S
 _TO_TURNED_AWAY_S = _TELL_S + _LACKING_S + _CALL_S
-# Any other instance that knows tells it at its next period, and is asked where
-# the relay doesn't bring it, in the period in which that shows.
+# Any other instance that has the change announces it in its next period. If
+# the relay is late, that instance is asked, in the period that detects it.
 _TOLD_S = (
     _TELL_S
     + version_tracker.VersionTracker.RELAY_LATE_S
     + core.PERIOD_S
     + _CALL_S
 )
-# A relay that doesn't answer, and the look for whom else to ask.
-_GIVEN_UP_S = following._RELAY_TIMEOUT_S + following._LOOK_S
+# The timeout of a relay that doesn't answer, and a poll for another source.
+_GIVEN_UP_S = following._RELAY_TIMEOUT_S + following._POLL_S
 
-# Packets wait for this long each way on a reporter's link, in seconds. A
-# datagram tells of the news, the relay doesn't answer in time, the store does.
+# Packets queue for this long each way on a reporter's link, in seconds. A
+# datagram announces the change, and the relay doesn't answer in time, but the
+# store does.
 _QUEUED_S = 0.25
 _BESIDE_S = _TELL_S + _QUEUED_S + following._RELAY_TIMEOUT_S + 2 * _QUEUED_S
 
@@ -67,11 +68,11 @@
 
 
 @pytest.mark.parametrize("way", _SUMS)
-def test_each_way_of_news_is_within_the_strictest_bound(way: str) -> None:
+def test_each_path_of_a_change_is_within_the_strictest_bound(way: str) -> None:
     assert _SUMS[way] < _BOUND_S
 
 
-def test_the_usual_ways_are_within_six_tenths_of_it() -> None:
+def test_the_usual_paths_are_within_six_tenths_of_it() -> None:
     for way in ("store well, relay", "store well, reporter"):
         assert _SUMS[way] <= 0.6 * _BOUND_S
 
@@ -82,8 +83,8 @@
         assert f"| {way} | {sum_s:.2f} s | {_BOUND_S - sum_s:.2f} s |" in page
 
 
-def test_a_kept_entry_ends_before_the_stores_word_is_final() -> None:
-    # 3 s after its return, and the return may follow the last failed call.
+def test_a_kept_entry_ends_before_the_stores_state_is_final() -> None:
+    # Final 3 s after the store's return, which may follow the last failed call.
     assert outages._FINAL_S < 3.0
     assert outages.LAPSE_S <= outages._FINAL_S
 
--- a/pollenfork/gateway/tests/test_cluster_state.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """Reads a configuration's version, or a runner's name, from a row."""
+    """Decodes rows that hold a configuration's version or a runner's name."""
 
     def read_configuration(self, row):
         if row.value == b"bad":
@@ -56,20 +56,20 @@
     caplog.set_level(logging.INFO, "pollenfork.gateway.readiness")
     known = make_known()
     stopping = []
-    judge = readiness.Readiness(known, lambda: bool(stopping))
-    assert not judge.check(99.0)
+    checker = readiness.Readiness(known, lambda: bool(stopping))
+    assert not checker.check(99.0)
     configure(known, 3, 10)
-    known.note_current(100.0)
-    assert not judge.check(100.0)
+    known.record_current(100.0)
+    assert not checker.check(100.0)
     known.take_runners(catalogue.Changes((), 10), 100.0)
-    assert judge.check(100.0)
-    assert not judge.check(104.0)
-    known.note_current(105.0)
-    assert judge.check(105.0)
+    assert checker.check(100.0)
+    assert not checker.check(104.0)
+    known.record_current(105.0)
+    assert checker.check(105.0)
     stopping.append(True)
-    assert not judge.check(105.0)
-    told = re.findall(r"state=(\w+) before=(\w+)", caplog.text)
-    assert told == [
+    assert not checker.check(105.0)
+    transitions = re.findall(r"state=(\w+) before=(\w+)", caplog.text)
+    assert transitions == [
         ("no_runners", "no_settings"),
         ("ready", "no_runners"),
         ("settings_stale", "ready"),
@@ -96,11 +96,11 @@
     assert known.lookup.configuration.version == 5
 
 
-def test_an_entry_that_names_no_runner_takes_away_only_its_own(caplog) -> None:
+def test_an_unreadable_entry_drops_only_its_own_runner(caplog) -> None:
     known = make_known()
     good = tuple(catalogue.Row(key, b"", 12) for key in "qrs")
     known.take_runners(catalogue.Changes(good, 12), 0.0)
-    # Also where entries that vanish are kept for a moment.
+    # This holds also while removed entries are kept for a grace period.
     known.runners.keep_until(5.0)
     bad = (catalogue.Row("r", b"bad", 13), catalogue.Row("new\n", b"bad", 14))
     fresh = catalogue.Row("t", b"", 15)
@@ -113,7 +113,7 @@
     assert 'runner="new\\n" row=14' in caplog.text
 
 
-def test_a_runner_whose_entry_was_overwritten_is_back_with_its_own() -> None:
+def test_a_runner_returns_once_its_entry_is_readable_again() -> None:
     known = make_known()
     for version, value in enumerate((b"", b"bad", b""), start=12):
         rows = (catalogue.Row("r", value, version),)
@@ -121,7 +121,7 @@
     assert list_runners(known) == ["r"]
 
 
-def test_a_relays_word_counts_only_for_what_is_known_here() -> None:
+def test_a_relays_proof_counts_only_for_versions_known_here() -> None:
     known = make_known()
     configure(known, 5, 10)
     known.take_proof(messages.Proof(11, 0, 0.2), 100.0, "a")
@@ -138,72 +138,72 @@
     assert not known.follows_relay(101.6)
 
 
-def test_a_relay_that_knows_less_is_still_right_about_the_past() -> None:
+def test_a_proof_of_an_older_version_still_counts() -> None:
     known = make_known()
     configure(known, 6, 11)
     known.take_proof(messages.Proof(10, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
 
 
-def test_news_that_a_relay_has_and_that_does_not_come_is_noticed() -> None:
+def test_a_change_that_does_not_arrive_from_peers_is_detected() -> None:
     known = make_known()
     configure(known, 5, 10)
     known.take_proof(messages.Proof(10, 30, 0.0), 100.0, "a")
     assert not known.configuration_versions.is_behind(100.0)
     assert not known.runners_versions.is_behind(100.0)
     assert known.runners_versions.is_behind(100.6)
-    # Said once, then only when it has lasted again.
+    # Reported once, and again only after a further interval.
     assert not known.runners_versions.is_behind(100.7)
     known.take_runners(catalogue.Changes((), 30), 100.8)
     assert not known.runners_versions.is_behind(102.0)
 
 
-def test_news_of_one_relay_outlasts_older_words_of_others() -> None:
+def test_older_announcements_do_not_replace_a_newer_version() -> None:
     known = make_known()
     configure(known, 5, 10)
     now = 100.0
     while now < 100.4:
         known.take_proof(messages.Proof(10, 30, 0.0), now, "a")
         known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
-        lacking = known.runners_versions.is_store_late(now)
+        overdue = known.runners_versions.is_store_late(now)
         now += 0.05
-    assert lacking and known.runners_versions.teller == "a"
+    assert overdue and known.runners_versions.sender == "a"
     known.take_runners(catalogue.Changes((), 30), now)
     known.take_proof(messages.Proof(10, 20, 0.0), now, "b")
     assert not known.runners_versions.is_newer_elsewhere
 
 
-def test_versions_alone_prove_no_moment() -> None:
+def test_versions_alone_prove_nothing_about_age() -> None:
     known = make_known()
     configure(known, 5, 10)
     known.take_versions(messages.Proof(12, 30, 0.0), "c")
     assert known.configuration_versions.is_newer_elsewhere
-    assert known.configuration_versions.teller == "c"
+    assert known.configuration_versions.sender == "c"
     assert not known.follows_relay(100.0)
     assert known.freshness.age(100.0) is None
 
 
-def test_a_runner_that_was_found_missing_is_news_to_others() -> None:
+def test_a_runner_found_missing_counts_as_a_change_for_peers() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.note_current(100.0)
+    known.record_current(100.0)
     left = catalogue.Row("q", b"", 20, removed=True)
     known.take_runners(catalogue.Changes((left,), 25), 100.0)
     assert known.write_proof(100.0).runners == 20
     gone = catalogue.Row("r", b"", 4, removed=True, missing=True)
     known.take_runners(catalogue.Changes((gone,), 30), 100.0)
-    # Others knew everything up to 25, the removal not among it.
+    # Peers knew all changes up to 25, but not this removal.
     assert known.write_proof(100.0).runners == 30
 
 
-def test_proof_of_others_is_passed_on_and_never_gets_fresher() -> None:
+def test_forwarded_proof_never_gets_younger() -> None:
     first, second = make_known(), make_known()
     for known in (first, second):
         configure(known, 5, 10)
     assert second.write_proof(100.0) is None
-    first.note_current(99.0)
+    first.record_current(99.0)
     assert first.write_proof(100.5) == messages.Proof(10, 0, 1.5)
-    # Round in a circle, each telling 0.1 s after it had sent its own word.
+    # Two instances forward the proof to each other, with 0.1 s between steps.
     now = 100.5
     for _ in range(20):
         for teller, hearer in ((first, second), (second, first)):
@@ -215,7 +215,7 @@
     assert not first.freshness.trusts_keys(now)
 
 
-def test_an_own_proof_is_needed_once_others_is_old() -> None:
+def test_own_proof_is_needed_once_peers_proof_is_old() -> None:
     known = make_known()
     configure(known, 5, 10)
     assert not known.is_proven_by_others(100.0)
@@ -224,7 +224,7 @@
     assert not known.is_proven_by_others(101.1)
 
 
-def test_a_removed_entry_that_is_kept_is_logged_with_for_how_long(
+def test_a_removed_entry_is_logged_with_its_grace_period(
     caplog,
 ) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.cluster_state")
@@ -244,7 +244,7 @@
 def know_runner(known, now: float) -> None:
     rows = (catalogue.Row("r", b"", 12),)
     known.take_runners(catalogue.Changes(rows, 12), now)
-    known.note_answer(now)
+    known.record_store_answer(now)
 
 
 def remove_runner(known, now: float) -> None:
@@ -252,13 +252,11 @@
     known.take_runners(catalogue.Changes(rows, 13), now)
 
 
-def test_entries_that_ended_in_an_outage_are_kept_until_it_is_long_over() -> (
-    None
-):
+def test_entries_removed_in_an_outage_are_kept_until_well_after_it() -> None:
     known = make_known()
     know_runner(known, 100.0)
-    known.note_failure(104.6)
-    # Another instance was answered first.
+    known.record_store_failure(104.6)
+    # The store answered another instance first.
     known.take_proof(messages.Proof(10, 13, 0.2), 105.0, "a")
     remove_runner(known, 105.2)
     known.expire_runners(106.9)
@@ -272,20 +270,20 @@
     know_runner(known, 100.0)
     for step in range(1, 20):
         moment = 100.0 + step * 0.5
-        known.note_failure(moment)
+        known.record_store_failure(moment)
         known.take_proof(messages.Proof(10, 12, 0.5), moment - 0.5, "a")
-    known.note_answer(110.0)
+    known.record_store_answer(110.0)
     remove_runner(known, 110.0)
     assert list_runners(known) == []
 
 
-def test_what_is_lacking_is_lacking_until_it_comes() -> None:
+def test_an_overdue_change_stays_overdue_until_it_arrives() -> None:
     known = make_known()
     configure(known, 5, 10)
     known.take_proof(messages.Proof(10, 30, 0.0), 100.0, "a")
-    lacking = []
+    overdue = []
     for step in range(30):
         now = 100.0 + step * 0.05
         known.runners_versions.is_behind(now)
-        lacking.append(known.runners_versions.is_store_late(now))
-    assert lacking == sorted(lacking) and sum(lacking) > 20
+        overdue.append(known.runners_versions.is_store_late(now))
+    assert overdue == sorted(overdue) and sum(overdue) > 20
--- a/pollenfork/gateway/tests/test_following.py
+++ b/pollenfork/gateway/tests/test_following.py
@@ -1,4 +1,4 @@
-"""An instance follows a relay, and the store where that doesn't do."""
+"""A follower reads from a relay, and from the store if the relay fails."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class Store:
-    """A store of one table; calls that wait for news are held for good."""
+    """A store of one table; calls that wait for a change are never answered."""
 
     def __init__(self) -> None:
         self.asked: list[messages.Ask] = []
@@ -60,10 +60,10 @@
 class Bench:
     """A follower between a store and a relay."""
 
-    def __init__(self, follower, store, told, relay) -> None:
+    def __init__(self, follower, store, relay_tables, relay) -> None:
         self.follower: following.Follower = follower
         self.store: Store = store
-        self.told: tables.Tables = told
+        self.relay_tables: tables.Tables = relay_tables
         self.relay: settings.Address = relay
         self.seen: list[messages.Changes] = []
         self.proofs: list[float] = []
@@ -80,7 +80,7 @@
                 await asyncio.sleep(0.005)
 
     def tell(self, version: int, *rows: Row) -> None:
-        self.told.take(Table.RUNNERS, messages.Changes(rows, version))
+        self.relay_tables.take(Table.RUNNERS, messages.Changes(rows, version))
 
     def set_source(
         self, news: bool = False, relay: bool = True, at_once: bool = False
@@ -93,9 +93,9 @@
 async def run_bench():
     loop = asyncio.get_running_loop()
     store = Store()
-    told = tables.Tables()
+    relay_tables = tables.Tables()
     server = await loop.create_server(
-        tables.make_server(told).make_connection, _HOST, 0
+        tables.make_server(relay_tables).make_connection, _HOST, 0
     )
     relay = loads.Address(*server.sockets[0].getsockname()[:2])
     follower = following.Follower(
@@ -106,7 +106,7 @@
         store.write,
         store.read,
     )
-    bench = Bench(follower, store, told, relay)
+    bench = Bench(follower, store, relay_tables, relay)
     task = asyncio.create_task(follower.run())
     try:
         yield bench
@@ -115,16 +115,16 @@
         server.close()
 
 
-def play(course):
+def run_scenario(scenario):
     async def run():
         async with run_bench() as bench:
-            await course(bench)
+            await scenario(bench)
 
     asyncio.run(run())
 
 
-def test_news_that_a_relay_has_comes_from_it_without_a_call() -> None:
-    async def course(bench):
+def test_a_relays_newer_version_is_fetched_without_calling_the_store() -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
@@ -138,24 +138,24 @@
         bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 3)
         assert len(bench.store.asked) == 2
-        # Only the store itself is proof of what is current.
+        # Only the store's own answers prove that the copy is current.
         assert len(bench.proofs) == 1
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_an_instance_that_no_store_reaches_learns_all_from_a_relay() -> None:
-    async def course(bench):
+def test_an_instance_without_the_store_reads_the_table_from_a_relay() -> None:
+    async def scenario(bench):
         bench.store.silent = True
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
         await bench.wait_for(lambda: bench.seen)
         assert [row.key for row in bench.seen[0].rows] == ["b"]
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_store_that_is_lost_again_is_told_again(caplog) -> None:
+def test_losing_the_store_a_second_time_is_logged_again(caplog) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.following")
 
     def count(event: str) -> int:
@@ -168,18 +168,18 @@
         await bench.wait_for(lambda: count("store_lost") > before)
         bench.set_source()
 
-    async def course(bench):
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.store.silent = True
         await lose(bench)
         await lose(bench)
         assert count("store_lost") == count("store_bypassed") == 2
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_without_a_relay_the_store_is_asked_from_what_it_told() -> None:
-    async def course(bench):
+def test_after_losing_a_relay_the_store_is_asked_from_its_version() -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
@@ -192,11 +192,11 @@
         await bench.wait_for(lambda: len(bench.store.asked) == 4)
         assert bench.store.asked[3].wait_s == _WAIT_S
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_hurry_asks_the_store_also_beside_a_relay() -> None:
-    async def course(bench):
+def test_ask_store_now_calls_the_store_despite_a_relay() -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
@@ -206,27 +206,27 @@
         await bench.wait_for(lambda: len(bench.proofs) == 2)
         assert bench.store.asked[2].wait_s == 0.0
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_an_answer_older_than_what_a_relay_told_is_no_proof(caplog) -> None:
+def test_a_store_answer_older_than_the_relays_is_no_proof(caplog) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.following")
 
-    async def course(bench):
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
-        # The store answers from a copy that is older than that.
+        # The store answers from a copy older than the relay's version.
         bench.follower.ask_store_now()
         await bench.wait_for(lambda: "trouble=stale" in caplog.text)
         assert (len(bench.proofs), len(bench.seen)) == (1, 2)
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_relay_that_is_silent_or_behind_changes_nothing(caplog) -> None:
-    async def course(bench):
+def test_a_relay_that_fails_or_is_behind_changes_nothing(caplog) -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(1, Row("z", b"9", 1))
         bench.set_source(news=True)
@@ -237,29 +237,29 @@
         await bench.wait_for(lambda: "event=relay_silent" in caplog.text)
         assert len(bench.seen) == 1
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_an_answer_is_told_before_the_change_that_it_brings() -> None:
-    async def course(bench):
+def test_an_answer_is_reported_before_its_changes() -> None:
+    async def scenario(bench):
         order = []
         bench.follower.when_answered(lambda at: order.append("answer"))
         bench.follower.when_changed(lambda changes: order.append("change"))
         await bench.wait_for(lambda: bench.proofs)
         assert order == ["answer", "change"]
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_only_the_stores_own_answers_and_failures_are_told() -> None:
-    async def course(bench):
+def test_only_the_stores_own_answers_and_failures_are_reported() -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         assert len(bench.answers) == 1
         bench.tell(7, Row("b", b"2", 7))
         bench.set_source(news=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
-        # A call that is given up here shows nothing of the store, nor does
-        # what another instance knows.
+        # Neither a call that is broken off here nor an answer of another
+        # instance says anything about the store.
         assert (len(bench.answers), bench.failures) == (1, [])
         bench.store.silent = True
         bench.set_source(relay=False, at_once=True)
@@ -267,21 +267,21 @@
         await bench.wait_for(lambda: bench.failures)
         assert abs(bench.failures[0] - sent_at) < 0.3
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_table_that_nobody_keeps_is_refused() -> None:
-    async def course(bench):
+def test_an_unknown_table_is_refused() -> None:
+    async def scenario(bench):
         reader, writer = await asyncio.open_connection(*bench.relay)
         writer.write(b"GET /other HTTP/1.1\r\n\r\n")
         assert b" 404 " in await reader.read()
         writer.close()
 
-    play(course)
+    run_scenario(scenario)
 
 
-def test_a_call_that_cannot_connect_gives_way_to_news_elsewhere() -> None:
-    async def course(bench):
+def test_a_call_that_cannot_connect_is_broken_off_for_a_newer_version() -> None:
+    async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
@@ -304,7 +304,7 @@
         assert loop.time() - told_at < 0.25
         assert bench.failures == []
 
-    play(course)
+    run_scenario(scenario)
 
 
 def test_a_call_may_be_broken_off_at_any_time_and_twice() -> None:
