--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -160,7 +160,7 @@
         self.known.runners.when_gone(self._tools.limit_events.forget)
         self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
         self._sources = sources.Sources(told.store, store, self.known, rng)
-        self._sources.tables.show(
+        self._sources.tables.add_page(
             quarantine_page.QuarantinePage(suspected, self._loop.time)
         )
         self._cache_feed = cache_feed.CacheFeed(
--- a/pollenfork/gateway/tables.py
+++ b/pollenfork/gateway/tables.py
@@ -1,8 +1,9 @@
-"""The store's tables, told from one instance to another.
+"""Serves this instance's copies of the store's tables to other instances.
 
-A relay follows the store; the other instances of its data centre ask it for a
-table when its word says that there is news. So most instances call the store
-only as they start, and one that is cut off from it goes on hearing of changes.
+A relay follows the store; the other instances of its data centre request a
+table from it when it announces a newer version. So most instances call the
+store only at their start, and an instance that the store refuses still
+receives changes.
 """
 
 import asyncio
@@ -24,10 +25,10 @@
 
 
 class Page(Protocol):
-    """Something else that is served at the same address.
+    """A page that is served at the same address.
 
     Attributes:
-        path: What its targets begin with.
+        path: The prefix of its request targets.
     """
 
     path: bytes
@@ -39,24 +40,24 @@
 
 
 class Tables:
-    """What this instance knows, as others may ask for it."""
+    """The copies of the tables that other instances may request."""
 
     def __init__(self) -> None:
         self._page: Page | None = None
         self._shelves = {table: shelf.Shelf() for table in Table}
 
-    def show(self, page: Page) -> None:
-        """Serves an operator's page beside the tables."""
+    def add_page(self, page: Page) -> None:
+        """Serves a page for operators in addition to the tables."""
         self._page = page
 
     def take(self, table: Table, changes: catalogue.Changes) -> None:
-        """Takes what changed in a table."""
+        """Applies changes to the copy of a table."""
         self._shelves[table].take(changes)
 
     async def serve(
         self, call: messages.Call, caller: callers.CallerConnection
     ) -> None:
-        """Answers another instance."""
+        """Answers a request of another instance."""
         if self._page is not None and call.target.startswith(self._page.path):
             self._page.serve(call, caller)
             return
