--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from other instances."""
+"""Exchanges datagrams with other instances."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,7 +23,7 @@
 
 
 class LocalInstance:
-    """This instance, as the exchange sees it."""
+    """This instance, as the peer exchange sees it."""
 
     def __init__(
         self,
@@ -40,92 +40,94 @@
         self._data_centre = data_centre
 
     def read_loads(self) -> messages.Table:
-        """Returns what it has under way."""
+        """Returns the load that this instance puts on runners."""
         return self._chooser.list_loads()
 
     def take_placed(self) -> list[messages.Placed]:
-        """Returns what it has placed since the last call."""
+        """Returns the prompt parts placed on runners since the last call."""
         return self._chooser.take_placed()
 
     def note_placed(self, placed: Iterable[messages.Placed]) -> None:
-        """Takes what others have placed."""
+        """Records the prompt parts that other instances have placed."""
         self._chooser.caches.take(placed)
 
     def list_placed(self) -> list[messages.Placed]:
-        """Returns all that runners are believed to keep."""
+        """Returns all prompt parts that runners are believed to cache."""
         return self._chooser.caches.list_kept()
 
     def list_placed_here(self) -> list[messages.Placed]:
-        """Returns what runners of this data centre are believed to keep."""
+        """Returns the same for the runners of this data centre."""
         return self._chooser.list_kept_in(self._data_centre)
 
     def read_proof(self, now: float) -> messages.Proof | None:
-        """Returns what it knows of the store, and how old that may be."""
+        """Returns the known versions of the tables and their proof's age."""
         return self._known.write_proof(now)
 
     def note_proof(
         self, proof: messages.Proof, moment: float, teller: str
     ) -> None:
-        """Takes what a relay knows."""
+        """Records the versions that a relay has proven to be current."""
         self._known.take_proof(proof, moment, teller)
 
     def note_answered(self, moment: float) -> None:
-        """Takes about when the store answered another instance."""
-        self._known.note_answer(moment)
+        """Records roughly when the store answered another instance."""
+        self._known.record_store_answer(moment)
 
     def note_versions(self, proof: messages.Proof, teller: str) -> None:
-        """Takes what one that reports here has read."""
+        """Records the versions that a reporter has read."""
         self._known.take_versions(proof, teller)
 
     def take_found(self) -> list[messages.Finding]:
-        """Returns what it has found out of runners since the last call."""
+        """Returns its findings about runners since the last call."""
         return self._evidence.take_found()
 
     def note_found(self, finding: messages.Finding, now: float) -> None:
-        """Takes what another one has found out of a runner."""
+        """Records another instance's finding about a runner."""
         self._evidence.take(finding, now)
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
-        """Returns news of requests that runners ended under, if any."""
+        """Returns new suspicions of requests that crash runners, if any."""
         return self._suspected.take_news(now)
 
     def take_suspicions_page(self, now: float) -> messages.Suspicions | None:
-        """Returns the next part of all that it knows of them, if anything."""
+        """Returns the next page of all its suspicions, if there are any."""
         return self._suspected.take_page(now)
 
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
-        """Returns all that it knows of them, by datagram."""
+        """Returns all its suspicions, split into datagrams."""
         return self._suspected.list_all(now)
 
     def note_suspicions(
         self, told: messages.Suspicions, host: str, now: float
     ) -> None:
-        """Takes what another one knows of them."""
+        """Records another instance's suspicions."""
         self._suspected.note_told(told, host, now)
 
     def note_instances(self, count: int) -> None:
-        """Takes how many instances are known, this one included."""
+        """Records how many instances are known, including this one."""
         self._suspected.note_others(count - 1)
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Carries out the exchange with other instances."""
+    """Sends and receives the datagrams of the exchange with other instances."""
 
     def __init__(
         self,
         here: LocalInstance,
-        told: settings.GatewaySettings,
+        config: settings.GatewaySettings,
         me: messages.Address,
     ) -> None:
-        """Takes what it needs.
+        """Creates the exchange; `run` starts its periods.
 
         Args:
-            here: Is asked and told.
-            told: The settings.
-            me: Where datagrams arrive.
+            here: Provides and receives the state that is exchanged.
+            config: The settings.
+            me: The address at which datagrams arrive.
         """
         self._loop = asyncio.get_running_loop()
-        self._exchange = core.Exchange(me, told.data_centre, told.seeds, here)
+        self._exchange = core.Exchange(
+            me, config.data_centre, config.seeds, here
+        )
         self._me = me
         self._transport: asyncio.DatagramTransport | None = None
         self._others: messages.Table = {}
@@ -134,7 +136,7 @@
         self._relay: str | None = me.host
         self._ticked_at = 0.0
         self._urgent = False
-        self._hurrying: asyncio.TimerHandle | None = None
+        self._early_tick: asyncio.TimerHandle | None = None
         self._on_tick: list[Callable[[], None]] = []
         self._on_duty: list[Callable[[DutyMessage, str], None]] = []
         self._on_limits: list[
@@ -142,22 +144,22 @@
         ] = []
 
     def set_seeds(self, seeds: Iterable[messages.Address]) -> None:
-        """Sets the instances to ask while no other is known."""
+        """Sets the instances to contact while no other is known."""
         self._exchange.set_seeds(seeds)
 
-    def when_ticked(self, call: Callable[[], None]) -> None:
-        """Calls `call` each period."""
-        self._on_tick.append(call)
+    def when_ticked(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` each period."""
+        self._on_tick.append(callback)
 
-    def when_duty(self, call: Callable[[DutyMessage, str], None]) -> None:
-        """Calls `call` with what others tell of the duties, and their host."""
-        self._on_duty.append(call)
+    def when_duty(self, callback: Callable[[DutyMessage, str], None]) -> None:
+        """Calls `callback` with messages about duties, and their host."""
+        self._on_duty.append(callback)
 
     def on_limits(
-        self, call: Callable[[limit_messages.LimitMessage, str], None]
+        self, callback: Callable[[limit_messages.LimitMessage, str], None]
     ) -> None:
-        """Calls `call` with messages about rate limits, and their host."""
-        self._on_limits.append(call)
+        """Calls `callback` with messages about rate limits, and their host."""
+        self._on_limits.append(callback)
 
     def tell(self, host: str, message: messages.Message) -> None:
         """Sends one instance a message."""
@@ -165,11 +167,11 @@
         self._send([messages.Send(to, message)])
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
-        """Returns all hosts known, or those of a data centre."""
+        """Returns all known hosts, or those of one data centre."""
         return self._exchange.list_hosts(data_centre)
 
     def pick_round(self) -> list[str]:
-        """Returns the next few hosts to tell news."""
+        """Returns the next few hosts to send updates to."""
         return self._exchange.pick_round()
 
     def pick_pair(self) -> list[str]:
@@ -177,16 +179,16 @@
         return self._exchange.pick_pair()
 
     def list_candidates(self) -> list[str]:
-        """Returns all hosts in the order in which they should act for all."""
+        """Returns all hosts in the order of candidates for duty holder."""
         return self._exchange.list_candidates(self._loop.time())
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keeps the transport."""
-        # The event loop's own class doesn't derive from the declared one.
+        # The event loop's class isn't derived from the declared type.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Takes a datagram."""
+        """Handles a datagram."""
         message = messages.decode(data)
         if message is None:
             _LOG.warning("event=datagram_unreadable host=%s", address[0])
@@ -209,39 +211,39 @@
             isinstance(message, messages.Report | messages.Sum)
             and message.urgent
         ):
-            self._hurry()
+            self._schedule_early_tick()
 
     def error_received(self, error: Exception) -> None:
-        """Notes that a peer can't be reached; silence tells the exchange."""
+        """Ignores unreachable peers; the exchange times them out."""
 
     async def run(self) -> None:
-        """Tells and hears until cancelled."""
+        """Runs the periods of the exchange until cancelled."""
         while True:
             await asyncio.sleep(core.PERIOD_S)
             self._tick()
-            for tell in self._on_tick:
-                tell()
+            for notify in self._on_tick:
+                notify()
 
     def tell_soon(self) -> None:
-        """Tells that a long prompt was placed."""
+        """Announces early that a long prompt was placed."""
         self._urgent = True
-        self._hurry()
+        self._schedule_early_tick()
 
     def tell_suspicions(self) -> None:
-        """Tells at once which requests runners have ended under."""
+        """Sends suspicions of requests that crash runners immediately."""
         self._send(self._exchange.tell_suspicions(self._loop.time()))
 
-    def _hurry(self) -> None:
-        """Begins a round as soon as their spacing allows."""
-        if self._hurrying is not None:
+    def _schedule_early_tick(self) -> None:
+        """Starts a round as soon as the spacing of rounds allows."""
+        if self._early_tick is not None:
             return
         due_at = self._ticked_at + self._exchange.spacing_s
-        self._hurrying = self._loop.call_at(due_at, self._tick)
+        self._early_tick = self._loop.call_at(due_at, self._tick)
 
     def _tick(self) -> None:
-        if self._hurrying is not None:
-            self._hurrying.cancel()
-            self._hurrying = None
+        if self._early_tick is not None:
+            self._early_tick.cancel()
+            self._early_tick = None
         now = self._ticked_at = self._loop.time()
         urgent, self._urgent = self._urgent, False
         self._send(self._exchange.tick(now, urgent))
@@ -249,39 +251,39 @@
         self._note_changes(now)
 
     def read_others(self, runner: int) -> messages.Load:
-        """Returns what other instances have under way at a runner."""
+        """Returns the load that other instances put on a runner."""
         return self._others.get(runner, _NONE)
 
     @property
     def relays(self) -> bool:
-        """Whether this instance relays for its data centre."""
+        """Whether this instance is the relay of its data centre."""
         return self._relay == self._me.host
 
-    def find_prover(self, now: float) -> messages.Address | None:
-        """Returns another instance that proves the configuration for all."""
+    def find_store_poller(self, now: float) -> messages.Address | None:
+        """Returns another instance that polls the store for all, if any."""
         return self.locate(self._exchange.find_prover(now))
 
     @property
     def instances(self) -> int:
-        """How many instances are known, this one included."""
+        """How many instances are known, including this one."""
         return self._exchange.instances
 
     def find_relay(self, now: float) -> messages.Address | None:
-        """Returns another instance that relays for this data centre."""
+        """Returns the relay of this data centre; None for this instance."""
         return self.locate(self._exchange.find_relay(now))
 
     def pass_over(self, host: str) -> None:
-        """Takes that an instance doesn't answer: another one relays."""
+        """Skips an instance that doesn't answer as a relay."""
         self._exchange.pass_over(host, self._loop.time())
 
     def locate(self, host: str | None) -> messages.Address | None:
-        """Returns where another instance listens; None for this one."""
+        """Returns another instance's address; None for this instance."""
         if host is None or host == self._me.host:
             return None
         return messages.Address(host, self._me.port)
 
     def read_age(self) -> float | None:
-        """Returns how old others' loads are in seconds; None: unknown."""
+        """Returns the age of other instances' loads in seconds, if known."""
         if self._heard_at is None:
             return None
         return self._loop.time() - self._heard_at
