--- a/pollenfork/gateway/quarantine_page.py
+++ b/pollenfork/gateway/quarantine_page.py
@@ -1,4 +1,4 @@
-"""Shows operators which requests are kept back, and lets them lift that."""
+"""Lists quarantined requests for operators, who may release them."""
 
 from collections.abc import Callable
 
@@ -14,27 +14,27 @@
 _PATH = b"/kept-requests"
 
 
-class _End(msgspec.Struct):
-    """An end that speaks against a request."""
+class _Crash(msgspec.Struct):
+    """A runner's crash under a request."""
 
     place: str
     ran_ms: int
     ago_ms: int
 
 
-class _Kept(msgspec.Struct):
-    """A request that is kept back."""
+class _Quarantined(msgspec.Struct):
+    """A quarantined request."""
 
     digest: str
     kept_ms: int
-    ends: list[_End]
+    ends: list[_Crash]
 
 
 class QuarantinePage:
-    """`GET` lists them, `DELETE` of one lifts it at all instances.
+    """`GET` lists the requests, `DELETE` releases one at all instances.
 
     Attributes:
-        path: What targets begin with.
+        path: The prefix of the page's request targets.
     """
 
     path = _PATH
@@ -44,10 +44,10 @@
         suspected: quarantine.Quarantine,
         read_time: Callable[[], float],
     ) -> None:
-        """Takes what it needs.
+        """Creates the page.
 
         Args:
-            suspected: What is known.
+            suspected: The quarantine to show.
             read_time: Returns monotonic seconds.
         """
         self._suspected = suspected
@@ -56,9 +56,9 @@
     def serve(
         self, call: messages.Call, caller: callers.CallerConnection
     ) -> None:
-        """Answers an operator."""
+        """Answers an operator's request."""
         if call.method == b"GET" and call.target == _PATH:
-            caller.write(replies.write_document(self._write()))
+            caller.write(replies.write_document(self._encode_list()))
             return
         if call.method == b"DELETE" and self._lift(call.target):
             caller.write(replies.write_text(200, b"lifted"))
@@ -74,20 +74,20 @@
             return False
         return self._suspected.lift(digest)
 
-    def _write(self) -> bytes:
+    def _encode_list(self) -> bytes:
         now = self._read_time()
         kept = [_describe(case, now) for case in self._suspected.list_kept()]
         return msgspec.json.encode(kept)
 
 
-def _describe(case: cases.Case, now: float) -> _Kept:
+def _describe(case: cases.Case, now: float) -> _Quarantined:
     since = now if case.kept_since is None else case.kept_since
     ends = [
-        _End(
+        _Crash(
             place=f"{each.place:08x}",
             ran_ms=int((each.ended_at - each.sent_at) * 1000),
             ago_ms=int((now - each.ended_at) * 1000),
         )
         for each in case.ends
     ]
-    return _Kept(f"{case.digest:016x}", int((now - since) * 1000), ends)
+    return _Quarantined(f"{case.digest:016x}", int((now - since) * 1000), ends)
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -1,4 +1,4 @@
-"""Stores which requests are kept back, and reads that at the start."""
+"""Persists quarantined requests in the store and restores them at start."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,36 +21,41 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A call takes some milliseconds; the store may be slow.
-_CALL_S = 1.0
-# Pauses after calls that come to nothing, in seconds; they double, as all
-# instances call when the store is back. Until the rows are read a start knows
-# what others tell it.
+# The timeout of a call, in seconds. A call usually takes some milliseconds, but
+# the store may be slow.
+_CALL_TIMEOUT_S = 1.0
+# Pauses after failed calls, in seconds. They double, because all instances call
+# when the store is back. Until the rows are read, a starting instance knows
+# what its peers send.
 _FIRST_PAUSE_S = 0.5
 _LONGEST_PAUSE_S = 8.0
-# Rows that wait to be written; the oldest go first, which others still know.
-_WAITING_LIMIT = 256
-# Rows that a start goes by; it removes older ones, by their last end, so that
-# the table doesn't grow for ever. As many as an instance knows of at once.
+# The maximum number of queued writes. If exceeded, the oldest are dropped;
+# other instances still know them.
+_QUEUE_LIMIT = 256
+# The maximum number of rows that a start restores, which is also how many an
+# instance holds at once. Rows whose last crash is older are removed, so that
+# the table doesn't grow without limit.
 _ROWS_LIMIT = 1024
-# A caller waits for a claim; the store takes some milliseconds.
-_CLAIM_S = 0.3
+# The timeout of a claim, in seconds, while a caller waits. The store usually
+# takes some milliseconds.
+_CLAIM_TIMEOUT_S = 0.3
 _OK = 200
 _TABLE = changes.Table.KEPT_REQUESTS
 
 
 class _Write(msgspec.Struct, frozen=True):
-    """A row to write, or to remove where it has no value."""
+    """A row to write, or to remove if it has no value."""
 
     digest: ids.RequestDigest
     value: bytes | None
 
 
 class QuarantineStore:
-    """Writes a row when a request is first kept back here, and removes it.
+    """Writes a row when a request is quarantined here, and removes it later.
 
-    Only instances that saw one of its ends themselves write, three at most. So
-    a request costs the store three small calls, and each start one.
+    Only instances that observed one of its crashes write the row, at most
+    three. So a request costs the store three small calls, and each start of an
+    instance one.
     """
 
     def __init__(
@@ -60,13 +65,13 @@
         suspected: quarantine.Quarantine,
         read_wall: Callable[[], float],
     ) -> None:
-        """Takes what it needs.
+        """Subscribes to changes of the quarantine; `run` makes the calls.
 
         Args:
-            address: The store's.
+            address: The store's address.
             store: Decodes and encodes the store's calls.
-            suspected: Tells what is kept back, and is told.
-            read_wall: Returns the time of day in Unix seconds.
+            suspected: The quarantine to persist and to restore.
+            read_wall: Returns the wall-clock time in Unix seconds.
         """
         self._loop = asyncio.get_running_loop()
         self._client = client.Client(address)
@@ -75,22 +80,22 @@
         self._store = store
         self._suspected = suspected
         self._read_wall = read_wall
-        self._waiting: asyncio.Queue[_Write] = asyncio.Queue(_WAITING_LIMIT)
+        self._queue: asyncio.Queue[_Write] = asyncio.Queue(_QUEUE_LIMIT)
         self._stored: set[ids.RequestDigest] = set()
         suspected.book.when_kept(self._note_kept)
         suspected.book.when_cleared(self._note_cleared)
 
     async def run(self) -> None:
-        """Reads what is stored, then writes until cancelled."""
-        await _try_until(self._read)
+        """Restores the stored requests, then writes until cancelled."""
+        await _retry_until_done(self._read)
         while True:
-            write = await self._waiting.get()
-            await _try_until(functools.partial(self._write, write))
+            write = await self._queue.get()
+            await _retry_until_done(functools.partial(self._write, write))
 
     async def claim_trial(self, digest: ids.RequestDigest) -> bool:
-        """Returns whether this instance may try a request that is kept back.
+        """Returns whether this instance may run a trial of a request.
 
-        The store lets one instance of all have each trial.
+        The store grants each trial of a quarantined request to one instance.
         """
         number = self._suspected.take_trial(digest, self._loop.time())
         if number is None:
@@ -99,7 +104,7 @@
         async with self._claiming:
             claim = changes.Put(changes.Table.TRIALS, key, b"", changes.ABSENT)
             call = self._store.write_change(changes.Change((claim,)))
-            answer = await self._claims.call(call, _CLAIM_S)
+            answer = await self._claims.call(call, _CLAIM_TIMEOUT_S)
         status = None if answer is None else answer[0]
         _LOG.warning(
             "event=trial_claimed digest=%016x number=%d status=%s",
@@ -114,12 +119,12 @@
         return status == _OK
 
     async def _read(self) -> bool:
-        """Returns whether all rows have been read."""
+        """Restores all rows; returns whether they could be read."""
         start = ""
         found: list[cases.Case] = []
         while True:
             ask = self._store.write_range_ask(_TABLE, start)
-            answer = await self._client.call(ask, _CALL_S)
+            answer = await self._client.call(ask, _CALL_TIMEOUT_S)
             if answer is None:
                 return False
             read = self._store.read_rows(*answer)
@@ -151,14 +156,14 @@
         for case in reversed(found[:_ROWS_LIMIT]):
             self._stored.add(case.digest)
             self._suspected.book.restore(case, now)
-        for case in found[_ROWS_LIMIT : _ROWS_LIMIT + _WAITING_LIMIT]:
+        for case in found[_ROWS_LIMIT : _ROWS_LIMIT + _QUEUE_LIMIT]:
             self._put(_Write(case.digest, None))
 
     async def _write(self, write: _Write) -> bool:
-        """Returns whether the store took a row, or will never take it."""
+        """Returns whether the store accepted or finally rejected a row."""
         key = records.write_key(write.digest)
         call = self._store.write_change(_make_change(write))
-        answer = await self._client.call(call, _CALL_S)
+        answer = await self._client.call(call, _CALL_TIMEOUT_S)
         if answer is None or answer[0] in (429, 503):
             return False
         if answer[0] != _OK:
@@ -178,13 +183,13 @@
             self._put(_Write(case.digest, None))
 
     def _put(self, write: _Write) -> None:
-        if self._waiting.full():
-            self._waiting.get_nowait()
-        self._waiting.put_nowait(write)
+        if self._queue.full():
+            self._queue.get_nowait()
+        self._queue.put_nowait(write)
 
 
 def _make_change(write: _Write) -> changes.Change:
-    """Returns what writes a row, or removes it and its trials' claims."""
+    """Returns a change that writes a row, or removes it with its claims."""
     key = records.write_key(write.digest)
     if write.value is not None:
         return changes.Change((changes.Put(_TABLE, key, write.value),))
@@ -193,8 +198,8 @@
     return changes.Change(removed=(changes.Key(_TABLE, key), *claims))
 
 
-async def _try_until(call: Callable[[], Awaitable[bool]]) -> None:
-    """Makes a call again and again until it says that it is done."""
+async def _retry_until_done(call: Callable[[], Awaitable[bool]]) -> None:
+    """Repeats a call with pauses until it returns True."""
     pause_s = _FIRST_PAUSE_S
     while not await call():
         await asyncio.sleep(pause_s)
--- a/pollenfork/gateway/tests/test_quarantine_page.py
+++ b/pollenfork/gateway/tests/test_quarantine_page.py
@@ -1,4 +1,4 @@
-"""Operators see what is kept back and why, and may lift it."""
+"""Operators see which requests are quarantined and why, and release them."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 class Caller:
-    """Keeps what is written to it."""
+    """Records what is written to it."""
 
     def __init__(self) -> None:
         self.written = b""
@@ -49,7 +49,7 @@
     return quarantine_page.QuarantinePage(suspected, lambda: 20.0)
 
 
-def test_it_lists_digests_with_the_ends_that_speak_against_them() -> None:
+def test_it_lists_digests_with_the_crashes_under_them() -> None:
     status, body = ask(make_page(), b"GET", b"/kept-requests")
     (kept,) = json.loads(body)
     assert status == 200
@@ -59,7 +59,7 @@
     assert [end["ran_ms"] for end in kept["ends"]] == [500] * 3
 
 
-def test_a_request_is_lifted_once() -> None:
+def test_a_request_is_released_once() -> None:
     page = make_page()
     target = b"/kept-requests/0000000000000abc"
     assert ask(page, b"DELETE", target)[0] == 200
@@ -67,7 +67,7 @@
     assert json.loads(ask(page, b"GET", b"/kept-requests")[1]) == []
 
 
-def test_what_names_no_request_is_refused() -> None:
+def test_a_path_without_a_valid_digest_is_refused() -> None:
     page = make_page()
     for target in (
         b"/kept-requests/zz",
--- a/pollenfork/gateway/tests/test_quarantine_store.py
+++ b/pollenfork/gateway/tests/test_quarantine_store.py
@@ -1,4 +1,4 @@
-"""What is stored of requests kept back is read whole, and doesn't pile up."""
+"""Stored quarantined requests are restored completely, and old rows removed."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class Store:
-    """Answers with rows, a hundred at a time, and keeps what is written."""
+    """Answers with pages of a hundred rows, and records what is written."""
 
     def __init__(self, rows: list[catalogue.Row]) -> None:
         self.rows = rows
@@ -45,7 +45,7 @@
 
 
 def make_row(number: int, now: float) -> catalogue.Row:
-    """A request whose last end was that many seconds ago."""
+    """Returns the row of a request whose last crash is `number` + 5 s old."""
     ended_at = now - 5.0 - number
     case = cases.Case(
         ids.RequestDigest(number), [cases.End(1, ended_at - 1, ended_at, 1)]
@@ -54,8 +54,8 @@
     return catalogue.Row(records.write_key(case.digest), value, 1)
 
 
-def play(count: int, extra: list[catalogue.Row]):
-    """Returns what is kept back after a start, and the keys removed."""
+def run_start(count: int, extra: list[catalogue.Row]):
+    """Returns what is quarantined after a start, and the keys removed."""
 
     async def run():
         loop = asyncio.get_running_loop()
@@ -84,29 +84,29 @@
     return asyncio.run(run())
 
 
-def test_a_start_goes_by_all_rows_over_several_answers() -> None:
-    kept, removed = play(250, [])
+def test_a_start_restores_all_rows_from_several_pages() -> None:
+    kept, removed = run_start(250, [])
     assert sorted(kept) == list(range(250))
     assert removed == []
 
 
-def test_the_oldest_rows_go_where_there_are_too_many() -> None:
-    kept, removed = play(1100, [])
+def test_the_oldest_rows_are_removed_if_there_are_too_many() -> None:
+    kept, removed = run_start(1100, [])
     assert sorted(kept) == list(range(1024))
     assert sorted(int(key, 16) for key in removed) == list(range(1024, 1100))
 
 
-def test_a_row_that_is_none_hides_no_other() -> None:
+def test_an_unreadable_row_does_not_hide_others() -> None:
     foreign = [
         catalogue.Row("zz", b"{}", 1),
         catalogue.Row("ff", b"not a document", 1),
     ]
-    kept, _ = play(3, foreign)
+    kept, _ = run_start(3, foreign)
     assert sorted(kept) == [0, 1, 2]
 
 
 def claim(statuses: list[int]) -> tuple[list[bool], list[str]]:
-    """Claims a trial as often as there are answers of the store."""
+    """Claims one trial for each of the store's statuses; 0 is no answer."""
 
     async def run():
         loop = asyncio.get_running_loop()
@@ -137,19 +137,19 @@
     return asyncio.run(run())
 
 
-def test_a_trial_is_claimed_once_and_another_ones_claim_stands() -> None:
+def test_a_trial_claimed_by_another_instance_is_not_granted() -> None:
     granted, claimed = claim([200, 412])
     assert granted == [True, False]
     assert claimed == [f"{7:016x}-1", f"{7:016x}-2"]
 
 
-def test_a_claim_that_the_store_refused_is_made_again() -> None:
+def test_a_claim_that_the_store_refused_is_repeated() -> None:
     granted, claimed = claim([503, 200])
     assert granted == [False, True]
     assert claimed == [f"{7:016x}-1"] * 2
 
 
-def test_a_claim_without_an_answer_is_taken_for_another_ones() -> None:
+def test_a_claim_without_an_answer_counts_as_another_instances() -> None:
     granted, claimed = claim([0, 200])
     assert granted == [False, True]
     assert claimed == [f"{7:016x}-1", f"{7:016x}-2"]
