--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -1,9 +1,9 @@
-"""Hears from runners which parts of prompts they keep.
+"""Follows which parts of prompts runners cache.
 
-What runners were given to read is known at once, but not what they pushed out
-since, nor, after a restart, what they kept. One instance of each data centre
-asks its runners and tells the others; runners take few such calls, and bytes
-between data centres are paid for.
+Instances know which prompts they have sent to runners, but not what runners
+have evicted since, nor, after an instance's restart, what they still cache. One
+instance of each data centre asks its runners and informs the others, because
+runners accept few such calls and traffic between data centres is paid for.
 """
 
 import asyncio
@@ -27,29 +27,31 @@
 
 _LOG = logging.getLogger(__name__)
 
-# How long a runner may hold a call without news, in seconds; the longest that
-# runners take. What an answer may take beyond it.
+# For how many seconds a runner may hold a call without changes, which is the
+# longest that runners accept; and the additional time allowed for the answer.
 _WAIT_S = 1.0
 _SLACK_S = 0.7
-# Pause between calls to a runner, in seconds: news of a busy runner comes in
-# batches. It is old by some hundred milliseconds when it can be heard.
+# The pause between calls to a runner, in seconds, so that changes of a busy
+# runner come in batches. They are some hundred milliseconds old by the time
+# they can be fetched.
 _REST_S = 0.2
-# The least pause for each runner that is followed, in seconds. A call costs
-# 0.22 ms of processor time, so this keeps an instance near 1% of a core.
+# The minimum pause per followed runner, in seconds. A call costs 0.22 ms of
+# processor time, so this keeps an instance near 1% of a core.
 _REST_EACH_S = 0.02
-# Pause after a call that brought nothing; it doubles, as a crashed runner is
-# away for seconds.
+# The pause after a failed call. It doubles, as a crashed runner is away for
+# seconds.
 _FIRST_PAUSE_S = 0.4
 _LONGEST_PAUSE_S = 2.0
-# How long an instance must have relayed before it asks runners, in seconds.
-# One that has just started takes itself for a relay until it knows others.
+# For how many seconds an instance must have been a relay before it asks
+# runners. An instance that has just started considers itself a relay until it
+# knows others.
 _SETTLED_S = 0.5
 
 News = result.Result[fleet_messages.CacheNews, failures.Failure]
 
 
 class CacheFeed:
-    """Follows what the runners of this data centre keep."""
+    """Follows what the runners of this data centre cache."""
 
     def __init__(
         self,
@@ -59,14 +61,14 @@
         data_centre: ids.DataCentre,
         rng: random.Random,
     ) -> None:
-        """Takes what it needs.
+        """Creates a feed that follows no runner yet.
 
         Args:
             codec: Decodes and encodes the runners' calls.
-            chooser: Is told what they keep.
-            known: Tells which runners there are, and which read prompts.
-            data_centre: Whose runners are asked.
-            rng: Spreads the calls.
+            chooser: Receives what the runners cache.
+            known: The runners, and the services that process prompts.
+            data_centre: The data centre whose runners are asked.
+            rng: Spreads the calls over time.
         """
         self._loop = asyncio.get_running_loop()
         self._codec = codec
@@ -78,28 +80,28 @@
         self._tasks: dict[fleet.Incarnation, asyncio.Task[None]] = {}
 
     def check(self, others: peers.Peers) -> None:
-        """Begins or ends to ask, by who relays and which runners there are."""
+        """Starts and stops following runners as the relay or they change."""
         now = self._loop.time()
         if not others.relays:
             self._relays_since = None
         elif self._relays_since is None:
             self._relays_since = now
         since = self._relays_since
-        wanted = {}
+        followable = {}
         if since is not None and now - since >= _SETTLED_S:
-            wanted = self._list_wanted()
-        for runner in set(self._tasks) - set(wanted):
+            followable = self._list_followable()
+        for runner in set(self._tasks) - set(followable):
             self._tasks.pop(runner).cancel()
-        for runner in set(wanted) - set(self._tasks):
-            following = self._follow(wanted[runner])
+        for runner in set(followable) - set(self._tasks):
+            following = self._follow(followable[runner])
             self._tasks[runner] = self._loop.create_task(following)
 
     def close(self) -> None:
-        """Ends all calls."""
+        """Cancels all calls."""
         for task in self._tasks.values():
             task.cancel()
 
-    def _list_wanted(self) -> dict[fleet.Incarnation, fleet.Runner]:
+    def _list_followable(self) -> dict[fleet.Incarnation, fleet.Runner]:
         if self._known.lookup is None:
             return {}
         services = self._known.lookup.configuration.services
@@ -109,7 +111,7 @@
             for runner in self._known.runners.list_all()
             if runner.data_centre == self._data_centre
             and not runner.leaving
-            # Calls to a limited runner take from what its callers get.
+            # Calls to a rate-limited runner would use up requests of callers.
             and not self._chooser.is_limited(runner.id)
             and runner.service in reading
         }
@@ -138,12 +140,13 @@
                     pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
                     continue
                 news = heard.ok_value
-                if not self._is_of(runner, news):
+                if not self._is_current_start(runner, news):
                     after = None
                     await asyncio.sleep(_FIRST_PAUSE_S)
                     continue
                 if after is not None and news.epoch != epoch:
-                    # Its numbers begin anew, and so must the questions.
+                    # Its sequence numbers have restarted, so all its changes
+                    # are requested again.
                     after = None
                     continue
                 epoch = news.epoch
@@ -161,12 +164,13 @@
         finally:
             calls.close()
 
-    def _is_of(
+    def _is_current_start(
         self, runner: fleet.Runner, news: fleet_messages.CacheNews
     ) -> bool:
-        """Returns whether news are of the start that is followed.
+        """Returns whether an answer is of the start that is followed.
 
-        A later one that its entry doesn't show yet is told to all from here.
+        A later start that the runner's entry doesn't show yet is recorded, and
+        spreads to all instances from here.
         """
         if news.start is None or news.start == runner.start:
             return True
@@ -183,7 +187,7 @@
     async def _ask(
         self, calls: client.Client, runner: fleet.Runner, after: int | None
     ) -> News:
-        """Returns the news after a change; all that is kept where None."""
+        """Returns the changes after one, or all cached parts if it is None."""
         write = self._codec.write_feed_ask
         request = write(runner, after or 0, _WAIT_S)
         answer = await calls.call(request, _WAIT_S + _SLACK_S)
@@ -195,7 +199,7 @@
         if heard.ok_value.gap:
             return await self._ask_all(calls, runner)
         if after is None:
-            return result.Ok(_fold(heard.ok_value))
+            return result.Ok(_collapse_changes(heard.ok_value))
         return heard
 
     async def _ask_all(
@@ -212,8 +216,10 @@
     """A runner didn't answer a call."""
 
 
-def _fold(news: fleet_messages.CacheNews) -> fleet_messages.CacheNews:
-    """Returns what is kept after all changes since the runner's start."""
+def _collapse_changes(
+    news: fleet_messages.CacheNews,
+) -> fleet_messages.CacheNews:
+    """Returns the parts cached after all changes since the runner's start."""
     kept: dict[bytes, None] = {}
     for change in news.changes:
         if change.kept:
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -1,4 +1,4 @@
-"""One instance of a data centre hears its runners; silence ends nothing."""
+"""One instance of a data centre follows its runners' caches, despite errors."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class CacheCodec:
-    """Answers hold `+part`, `-part`, `gap`, `epoch=` and `born=` in words."""
+    """Reads answers of the words `+part`, `-part`, `gap`, `epoch=`, `born=`."""
 
     def write_feed_ask(self, runner, after, wait_s):
         return b"GET /feed/%d HTTP/1.1\r\nx-id: q\r\n\r\n" % after
@@ -38,13 +38,13 @@
             for word in words
             if word[:1] in b"+-"
         )
-        said = dict(word.split(b"=") for word in words if b"=" in word)
+        fields = dict(word.split(b"=") for word in words if b"=" in word)
         news = fleet_messages.CacheNews(
             changes,
             len(changes),
             gap=b"gap" in words,
-            epoch=said.get(b"epoch", b"").decode(),
-            start=int(said[b"born"]) if b"born" in said else None,
+            epoch=fields.get(b"epoch", b"").decode(),
+            start=int(fields[b"born"]) if b"born" in fields else None,
         )
         return result.Ok(news)
 
@@ -57,7 +57,7 @@
 
 
 class Known:
-    """One service that reads prompts, and its runners."""
+    """One service that processes prompts, and its runners."""
 
     def __init__(self) -> None:
         self.runners = registry.Registry()
@@ -90,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def follow(monkeypatch, *script: bytes | None, start=None):
-    """Follows a runner that answers by a script; yields all that matters."""
+    """Yields a feed, the scripted runner that it follows, and its chooser."""
     monkeypatch.setattr(cache_feed, "_SETTLED_S", 0.0)
     monkeypatch.setattr(cache_feed, "_REST_S", 0.001)
     monkeypatch.setattr(cache_feed, "_REST_EACH_S", 0.0)
@@ -122,22 +122,24 @@
     return {placed.part for placed in chooser.caches.list_kept()}
 
 
-def mark(*parts: bytes) -> set[int]:
+def hash_parts(*parts: bytes) -> set[int]:
     return {loads.hash_name(part) for part in parts}
 
 
 @pytest.mark.parametrize(
     ("script", "kept"),
     [
-        # The first answer tells all changes since the runner's start.
+        # The first answer lists all changes since the runner's start.
         ([b"+a +b -a"], [b"b"]),
         ([b"+a +b", b"-a"], [b"b"]),
-        # Where changes are missing, the whole list is asked for.
+        # If changes are missing, the complete list is requested.
         ([b"gap +c", b"+a +b"], [b"a", b"b"]),
         ([b"+a +b", b"gap", b"+b"], [b"b"]),
     ],
 )
-def test_what_a_runner_says_is_believed(monkeypatch, script, kept) -> None:
+def test_a_runners_answers_update_its_cached_parts(
+    monkeypatch, script, kept
+) -> None:
     async def run() -> set[int]:
         answers = [answer(text) for text in script]
         async with follow(monkeypatch, *answers) as (feed, runner, chooser):
@@ -145,10 +147,12 @@
             await wait_until(lambda: len(runner.got) > len(script))
             return list_kept(chooser)
 
-    assert asyncio.run(run()) == mark(*kept)
+    assert asyncio.run(run()) == hash_parts(*kept)
 
 
-def test_after_a_failed_call_all_is_asked_for_again(monkeypatch) -> None:
+def test_after_a_failed_call_all_changes_are_requested_again(
+    monkeypatch,
+) -> None:
     async def run() -> tuple[list[bytes], set[int]]:
         failed = support.write_answer(b"", status=429)
         answers = [answer(b"+a"), failed, answer(b"+a +b")]
@@ -160,21 +164,21 @@
 
     paths, kept = asyncio.run(run())
     assert paths == [b"/feed/0", b"/feed/1", b"/feed/0", b"/feed/2"]
-    assert kept == mark(b"a", b"b")
+    assert kept == hash_parts(b"a", b"b")
 
 
-def test_numbers_that_begin_anew_are_asked_for_from_the_start(
+def test_a_new_epoch_is_requested_from_its_start(
     monkeypatch,
 ) -> None:
     async def run() -> tuple[list[bytes], set[int]]:
-        told = [
+        answers = [
             b"epoch=1 +a +b +c",
             b"epoch=1 -a",
             b"epoch=2 +d",
             b"epoch=2 +e",
             b"epoch=2",
         ]
-        script = [answer(text) for text in told]
+        script = [answer(text) for text in answers]
         async with follow(monkeypatch, *script) as (feed, runner, chooser):
             feed.check(Peers())
             await wait_until(lambda: len(runner.got) > 5)
@@ -189,15 +193,15 @@
         b"/feed/0",
         b"/feed/1",
     ]
-    assert kept == mark(b"e")
+    assert kept == hash_parts(b"e")
 
 
-def test_a_later_start_in_an_answer_ends_what_was_believed(
+def test_a_later_start_in_an_answer_discards_the_cached_parts(
     monkeypatch,
 ) -> None:
     async def run() -> tuple[list[bytes], set[int]]:
-        told = [b"born=100 +a +b", b"born=200 +c", b"born=200 +d"]
-        script = [answer(text) for text in told]
+        answers = [b"born=100 +a +b", b"born=200 +c", b"born=200 +d"]
+        script = [answer(text) for text in answers]
         follows = follow(monkeypatch, *script, start=100)
         async with follows as (feed, runner, chooser):
             feed.check(Peers())
@@ -210,23 +214,23 @@
 
     paths, kept = asyncio.run(run())
     assert paths == [b"/feed/0", b"/feed/2", b"/feed/0", b"/feed/1"]
-    assert kept == mark(b"d")
+    assert kept == hash_parts(b"d")
 
 
-def test_an_answer_of_an_earlier_start_is_left_out(monkeypatch) -> None:
+def test_an_answer_of_an_earlier_start_is_ignored(monkeypatch) -> None:
     async def run() -> set[int]:
-        told = [b"born=100 +a", b"born=200 +b"]
-        script = [answer(text) for text in told]
+        answers = [b"born=100 +a", b"born=200 +b"]
+        script = [answer(text) for text in answers]
         follows = follow(monkeypatch, *script, start=200)
         async with follows as (feed, runner, chooser):
             feed.check(Peers())
             await wait_until(lambda: len(runner.got) > 2)
             return list_kept(chooser)
 
-    assert asyncio.run(run()) == mark(b"b")
+    assert asyncio.run(run()) == hash_parts(b"b")
 
 
-def test_a_connection_that_falls_silent_is_left(monkeypatch) -> None:
+def test_a_connection_that_stops_answering_is_replaced(monkeypatch) -> None:
     monkeypatch.setattr(cache_feed, "_WAIT_S", 0.01)
     monkeypatch.setattr(cache_feed, "_SLACK_S", 0.02)
 
@@ -237,7 +241,7 @@
             await wait_until(lambda: len(list_kept(chooser)) > 1)
             return runner.connections, list_kept(chooser)
 
-    assert asyncio.run(run()) == (2, mark(b"a", b"b"))
+    assert asyncio.run(run()) == (2, hash_parts(b"a", b"b"))
 
 
 def test_a_relay_of_many_runners_asks_each_less_often() -> None:
@@ -248,7 +252,7 @@
         return few, feed._rest_s
 
     few, many = asyncio.run(run())
-    # At most 50 calls a second, at any number of runners.
+    # At most 50 calls a second, for any number of runners.
     assert few == 0.2 and many >= 100 / 50
 
 
