--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -1,4 +1,4 @@
-"""One gateway process: owns every part, starts and stops them in order."""
+"""One gateway process: creates its parts, starts and stops them in order."""
 
 import asyncio
 from collections.abc import Callable
@@ -48,14 +48,16 @@
 _LOG = logging.getLogger(__name__)
 
 _SWEEP_S = 0.5
-# How often beliefs about runners that aren't known are looked for, in seconds.
-# News of a runner reaches all instances within less.
-_TIDY_S = 3.0
-# The balancer asks once a second and takes an instance out after two misses;
-# until then it sends callers, who must be served.
-_NOTICED_S = 2.6
-# What is left of the grace when the last answers are cut.
-_LAST_S = 0.8
+# How often state about unregistered runners is removed, in seconds. A new
+# runner becomes known to all instances in less time.
+_CLEANUP_S = 3.0
+# How long an instance goes on accepting callers when it stops, in seconds. The
+# load balancer checks once a second and removes an instance after two failed
+# checks; until then it sends callers, who must be served.
+_REMOVAL_WAIT_S = 2.6
+# The rest of the grace period, in seconds, at which remaining answers are cut
+# off.
+_CUT_OFF_S = 0.8
 _STOP_POLL_S = 0.05
 _BACKLOG = 512
 
@@ -64,11 +66,11 @@
 
 
 class Application:
-    """The life of one gateway."""
+    """Creates and runs all parts of one gateway."""
 
     def __init__(
         self,
-        told: settings.GatewaySettings,
+        config: settings.GatewaySettings,
         codec: edges.Codec,
         store: edges.Store,
         cache_codec: edges.CacheCodec,
@@ -76,19 +78,19 @@
         rng: random.Random,
         reread: Reread,
     ) -> None:
-        """Takes what it needs.
+        """Creates all parts; `run` starts them.
 
         Args:
-            told: The settings.
+            config: The settings.
             codec: Decodes and encodes callers' and runners' heads.
             store: Decodes and encodes the store's calls.
-            cache_codec: The same for runners' calls about what they keep.
-            make_cloud: Returns the same for the calls to the platform that
-                one instance makes for all.
-            rng: Spreads what must not happen everywhere at once.
-            reread: Returns the settings as they stand now.
+            cache_codec: Decodes and encodes runners' calls about their caches.
+            make_cloud: Returns a codec of the duty holder's calls to the
+                platform.
+            rng: Spreads actions of many instances over time.
+            reread: Reads the settings again, for a reload.
         """
-        self._settings = told
+        self._settings = config
         self._reread = reread
         self._codec = codec
         self._loop = asyncio.get_running_loop()
@@ -97,36 +99,36 @@
         self._listeners: list[asyncio.Server] = []
         self.counters = counters.Counters()
         self.known = cluster_state.ClusterState(
-            store, told.revocation_s, told.heartbeat_s
+            store, config.revocation_s, config.heartbeat_s
         )
         connections = pool.Pool(self._loop)
-        me = told.peer or told.front
-        granted = permits.Permits(self._loop, me.host, told.data_centre)
+        me = config.peer or config.front
+        granted = permits.Permits(self._loop, me.host, config.data_centre)
         chooser = choice.Chooser(
             self.known.runners, rng, self._read_others, granted
         )
         found = evidence.Evidence(
-            self.known.runners, chooser.find_standing, told.data_centre
+            self.known.runners, chooser.find_standing, config.data_centre
         )
         suspected = quarantine.Quarantine(
             self.known.runners,
-            told.front.host,
+            config.front.host,
             lambda runner, at: chooser.find_standing(runner).lives_since(at),
             self._loop.time,
         )
         found.when_ended(suspected.note_absent)
         self._duty_agent: duty_agent.DutyAgent | None = None
-        if told.duties is not None:
+        if config.duties is not None:
             self._duty_agent = duty_agent.DutyAgent(
                 self._loop,
-                told,
-                told.duties,
+                config,
+                config.duties,
                 store,
-                make_cloud(told.duties),
+                make_cloud(config.duties),
                 rng,
             )
         self._keeper = quarantine_store.QuarantineStore(
-            told.store, store, suspected, time.time
+            config.store, store, suspected, time.time
         )
         self._tools = context.Tools(
             loop=self._loop,
@@ -149,7 +151,7 @@
             pool=connections,
             prober=probing.Prober(connections, self.known.runners, rng),
             repeats=repeats.RepeatBudget(
-                told.retry_ratio, told.retry_window_s, told.retry_extra
+                config.retry_ratio, config.retry_window_s, config.retry_extra
             ),
             turns=refusals.Turns(),
             counters=self.counters,
@@ -159,14 +161,22 @@
         connections.follow(self.known.runners)
         self.known.runners.when_gone(self._tools.limit_events.forget)
         self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
-        self._sources = sources.Sources(told.store, store, self.known, rng)
+        self._sources = sources.Sources(config.store, store, self.known, rng)
         self._sources.tables.add_page(
             quarantine_page.QuarantinePage(suspected, self._loop.time)
         )
         self._cache_feed = cache_feed.CacheFeed(
-            cache_codec, self._tools.chooser, self.known, told.data_centre, rng
+            cache_codec,
+            self._tools.chooser,
+            self.known,
+            config.data_centre,
+            rng,
         )
-        if self._duty_agent is not None and told.duties and told.duties.scales:
+        if (
+            self._duty_agent is not None
+            and config.duties
+            and config.duties.scales
+        ):
             orders = autoscaler.Autoscaler(
                 self._duty_agent.office, self.known, chooser
             )
@@ -181,14 +191,14 @@
         self._probes = callers.Server(self._loop, taken.serve_probe)
 
     async def run(self) -> None:
-        """Serves until told to stop, then ends what is under way."""
+        """Serves until `stop` is called, then drains and closes."""
         await self._start()
         await self._stopping.wait()
         await self._drain()
         self._close()
 
     def stop(self) -> None:
-        """Begins to stop; callers under way still get their answers."""
+        """Starts to stop; requests in progress are still answered."""
         if not self._stopping.is_set():
             _LOG.info("event=stopping instance=%s", self._settings.instance)
             self._tools.permits.leave()
@@ -209,7 +219,7 @@
         self._tasks += self._sources.start()
         self._tasks.append(self._loop.create_task(self._keeper.run()))
         self._tasks.append(self._loop.create_task(self._sweep()))
-        self._tasks.append(self._loop.create_task(self._tidy()))
+        self._tasks.append(self._loop.create_task(self._clean_up()))
         if self._duty_agent is not None:
             self._tasks.append(self._loop.create_task(self._duty_agent.run()))
         await self._join_peers()
@@ -246,7 +256,7 @@
         joined.when_ticked(lambda: self._sources.choose(joined))
         joined.when_ticked(lambda: self._cache_feed.check(joined))
         self._tools.permits.join(joined)
-        joined.on_limits(self._tools.permits.hear)
+        joined.on_limits(self._tools.permits.receive)
         joined.when_ticked(self._tools.permits.tick)
         self._tools.chooser.when_long(joined.tell_soon)
         self._tools.suspected.when_urgent(joined.tell_suspicions)
@@ -257,7 +267,7 @@
         await self._listen(tables.make_server(self._sources.tables), me)
         self._tasks.append(self._loop.create_task(joined.run()))
         for task in self._tasks:
-            task.add_done_callback(_note_end)
+            task.add_done_callback(_log_failure)
 
     def _read_others(self, runner: int) -> loads.Load:
         if self._peers is None:
@@ -293,14 +303,14 @@
                 service.name, service.connections, self._peers.instances
             )
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         while True:
-            await asyncio.sleep(_TIDY_S)
+            await asyncio.sleep(_CLEANUP_S)
             self._tools.chooser.sweep()
             self._tools.permits.retain(self._tools.chooser.list_marks())
 
     def _reload(self) -> None:
-        """Takes over what has changed in the settings and may change."""
+        """Reads the settings again and applies those that are reloadable."""
         read = self._reread()
         if isinstance(read, result.Err):
             _LOG.error(
@@ -310,28 +320,29 @@
             )
             return
         changes = self._settings.find_changes(read.ok_value)
-        told = self._settings = self._settings.take(read.ok_value)
-        self.known.freshness.set_bound(told.revocation_s)
+        config = self._settings = self._settings.with_reloadable(read.ok_value)
+        self.known.freshness.set_bound(config.revocation_s)
         self._tools.repeats.set_limits(
-            told.retry_ratio, told.retry_window_s, told.retry_extra
+            config.retry_ratio, config.retry_window_s, config.retry_extra
         )
         if self._peers is not None:
-            self._peers.set_seeds(told.seeds)
+            self._peers.set_seeds(config.seeds)
         _LOG.info(
             "event=reload instance=%s taken=%s left=%s",
-            told.instance,
-            ",".join(changes.taken) or "-",
-            ",".join(changes.left) or "-",
+            config.instance,
+            ",".join(changes.applied) or "-",
+            ",".join(changes.pending) or "-",
         )
 
     async def _drain(self) -> None:
-        """Serves until the balancer has noticed, then until all is answered."""
+        """Serves until no more callers are sent and all are answered."""
         self._front.closing = True
         begun = self._loop.time()
-        last = begun + self._settings.grace_s - _LAST_S
-        while self._loop.time() < min(begun + _NOTICED_S, last):
+        last = begun + self._settings.grace_s - _CUT_OFF_S
+        while self._loop.time() < min(begun + _REMOVAL_WAIT_S, last):
             await asyncio.sleep(_STOP_POLL_S)
-        # Whoever comes now would be cut at the end of the grace.
+        # Requests that arrive now would be cut off at the end of the grace
+        # period.
         for listener in self._listeners:
             listener.close()
         self._front.close_idle()
@@ -360,11 +371,11 @@
 
 
 def _count_nothing(account: ids.AccountId) -> None:
-    """Leaves uncounted what nobody is told of."""
+    """Counts nothing, as this instance has no duties."""
 
 
-def _note_end(task: asyncio.Task[None]) -> None:
-    """Tells of a part that should run for good and has failed."""
+def _log_failure(task: asyncio.Task[None]) -> None:
+    """Logs the failure of a task that should run until the end."""
     if task.cancelled():
         return
     _LOG.critical("event=part_failed", exc_info=task.exception())
--- a/pollenfork/gateway/limit_events.py
+++ b/pollenfork/gateway/limit_events.py
@@ -1,4 +1,4 @@
-"""Events that tell which runners name a rate limit, and what they are sent."""
+"""Logs which runners declare a rate limit, and what they are sent."""
 
 import collections
 import logging
@@ -14,7 +14,7 @@
 
 
 class LimitEvents:
-    """Logs each change of what a runner names, and sends while it does."""
+    """Logs each change of a runner's limit, and requests sent under a limit."""
 
     def __init__(self) -> None:
         self._rates: dict[ids.EndpointId, float] = {}
@@ -23,7 +23,7 @@
         self._irregular: set[ids.EndpointId] = set()
 
     def on_sent(self, runner: fleet.Runner, now: float) -> None:
-        """Counts a request sent to a runner, where it names a limit."""
+        """Counts a request sent to a runner that has a limit."""
         rate = self._rates.get(runner.id)
         if rate is None:
             return
@@ -43,13 +43,13 @@
         )
 
     def on_answer(self, runner: fleet.Runner, read: figures.Reading) -> None:
-        """Logs what an answer names where it differs from the one before."""
+        """Logs the limit of an answer if it differs from the previous one."""
         if not read.regular and runner.id not in self._irregular:
             self._irregular.add(runner.id)
             _LOG.warning(
                 "event=limit_irregular runner=%s rate=%s readable=%s",
                 runner.id,
-                _write(read.rate),
+                _format(read.rate),
                 read.readable,
             )
         before = self._rates.get(runner.id)
@@ -58,8 +58,8 @@
         _LOG.info(
             "event=limit_named runner=%s rate=%s before=%s",
             runner.id,
-            _write(read.rate),
-            _write(before),
+            _format(read.rate),
+            _format(before),
         )
         if read.rate is None:
             self.forget(runner.id)
@@ -67,12 +67,12 @@
             self._rates[runner.id] = read.rate
 
     def forget(self, runner: ids.EndpointId) -> None:
-        """Forgets a runner that is gone or names no limit any more."""
+        """Drops a runner that is gone or has no limit any more."""
         self._rates.pop(runner, None)
         self._sent.pop(runner, None)
         self._logged_at.pop(runner, None)
         self._irregular.discard(runner)
 
 
-def _write(rate: float | None) -> str:
+def _format(rate: float | None) -> str:
     return "-" if rate is None else f"{rate:g}"
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -1,4 +1,4 @@
-"""Permits for requests to runners that name a rate limit."""
+"""Permits for requests to runners that declare a rate limit."""
 
 import asyncio
 import collections
@@ -13,26 +13,27 @@
 from pollenfork.ratelimits import figures
 from pollenfork.ratelimits import limiter
 
-# A coordinator answers within milliseconds; a process that has used up its
-# part of a core stands still for up to 0.1 s.
-_ANSWER_S = 0.12
-_LOOK_S = 0.02
-# Requests refused within this time are expected to come back.
+# The time in which a coordinator must answer, in seconds. It normally answers
+# within milliseconds, but a process that has used up its CPU quota is paused
+# for up to 0.1 s.
+_ANSWER_TIMEOUT_S = 0.12
+_POLL_S = 0.02
+# Requests refused within this many seconds are expected to be retried.
 _WINDOW_S = 2.0
 
 
 class Peers(Protocol):
-    """The other instances, as far as permits need them."""
+    """What permits need of the other instances."""
 
     @property
     def instances(self) -> int:
-        """How many instances are known, this one included."""
+        """How many instances are known, including this one."""
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
-        """Returns all hosts known, or those of a data centre."""
+        """Returns all known hosts, or those of one data centre."""
 
     def pick_round(self) -> list[str]:
-        """Returns the next few hosts to tell news."""
+        """Returns the next few hosts to send updates to."""
 
     def pick_pair(self) -> list[str]:
         """Returns a host of this data centre and one elsewhere."""
@@ -42,7 +43,7 @@
 
 
 class NoPeers:
-    """No other instances."""
+    """Stands for the absence of other instances."""
 
     instances = 1
 
@@ -50,7 +51,7 @@
         self._host = host
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
-        """Returns this one's host."""
+        """Returns this instance's host."""
         return [self._host]
 
     def pick_round(self) -> list[str]:
@@ -66,7 +67,7 @@
 
 
 class Counts(msgspec.Struct):
-    """What became of requests for permits."""
+    """The results of requests for permits."""
 
     granted: int = 0
     refused: int = 0
@@ -74,24 +75,24 @@
 
 
 class Permits:
-    """Asks for permits and waits for the answers.
+    """Requests permits and waits for the answers.
 
     Attributes:
-        counts: What became of its requests.
+        counts: The results of its requests.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, host: str, data_centre: str
     ) -> None:
-        """Starts with no limit known, and no other instances.
+        """Starts without known limits and without other instances.
 
         Args:
-            loop: Its clock is used.
-            host: This instance's.
-            data_centre: Where it runs.
+            loop: Provides the clock.
+            host: This instance's host.
+            data_centre: This instance's data centre.
         """
         self._loop = loop
-        self._others: Peers = NoPeers(host)
+        self._peers: Peers = NoPeers(host)
         self._limiter = limiter.Limiter(host, data_centre, self)
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._joined = False
@@ -100,23 +101,23 @@
         ] = {}
         self.counts = Counts()
 
-    def join(self, others: Peers) -> None:
-        """Takes the other instances."""
-        self._others = others
+    def join(self, peers: Peers) -> None:
+        """Sets the other instances."""
+        self._peers = peers
         self._joined = True
 
     async def wait_informed(self) -> None:
-        """Returns once it is known which limits others know of."""
+        """Returns once peers' limits are known here."""
         while not self.is_informed():
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_POLL_S)
 
     def on_sent(self, grant: outcomes.Grant) -> None:
-        """Takes that a request is sent to a runner without a limit."""
+        """Records a request sent to a runner without a known limit."""
         if self._joined:
             self._limiter.on_sent(grant.standing.mark, self._loop.time())
 
     def is_informed(self) -> bool:
-        """Returns whether it is known which limits others know of."""
+        """Returns whether peers' limits are known here."""
         now = self._loop.time()
         return not self._joined or self._limiter.find_informed_at(now) <= now
 
@@ -143,12 +144,12 @@
     def on_answer(
         self, grant: outcomes.Grant, read: figures.Reading, asked_at: float
     ) -> None:
-        """Takes what a runner's answer says of its limit.
+        """Records what a runner's answer declares about its limit.
 
         Args:
             grant: The runner.
-            read: What it says.
-            asked_at: Monotonic seconds at which its request was sent.
+            read: The declared limit.
+            asked_at: Monotonic seconds at which the request was sent.
         """
         now = self._loop.time()
         self._limiter.on_answer(grant.standing.mark, read, asked_at, now)
@@ -159,22 +160,23 @@
         tier: ids.Tier,
         limited: outcomes.Limited,
     ) -> float:
-        """Returns seconds after which a refused request is likely served.
+        """Returns the seconds after which a refused request should be retried.
 
-        All that were refused lately and are as urgent come back, here and at
-        the other instances, and the runners take them at their rate.
+        It assumes that all recently refused requests that are at least as
+        urgent will be retried, here and at the other instances, and that the
+        runners accept them at their rate.
         """
         now = self._loop.time()
         refused = self._refused.setdefault(service, collections.deque())
         while refused and refused[0][0] <= now - _WINDOW_S:
             refused.popleft()
-        before = sum(urgency <= tier for _, urgency in refused)
+        ahead = sum(urgency <= tier for _, urgency in refused)
         refused.append((now, tier))
-        backlog = before * self._others.instances
+        backlog = ahead * self._peers.instances
         return limited.wait_s + backlog / max(limited.rate, figures.LEAST_RATE)
 
-    def hear(self, message: limit_messages.LimitMessage, host: str) -> None:
-        """Takes a message of another instance."""
+    def receive(self, message: limit_messages.LimitMessage, host: str) -> None:
+        """Handles a message of another instance."""
         answered = self._limiter.hear(message, host, self._loop.time())
         if answered is None:
             return
@@ -183,7 +185,7 @@
             waiting.set_result(answered.granted)
 
     def leave(self) -> None:
-        """Lets others grant permits, as this instance stops."""
+        """Hands over granting permits to others, as this instance stops."""
         self._limiter.leave(self._loop.time())
 
     def tick(self) -> None:
@@ -191,47 +193,47 @@
         self._limiter.tick(self._loop.time())
 
     def retain(self, runners: set[int]) -> None:
-        """Forgets runners that aren't known any more, by their hashes."""
+        """Drops all runners but these, which are given by their hashes."""
         self._limiter.retain(runners, self._loop.time())
 
-    # What the choice of runners asks.
+    # Called when choosing runners.
 
     def find_rate(self, runner: int) -> float | None:
-        """Returns a runner's limit in requests a second; None: none."""
+        """Returns a runner's limit in requests a second, if it has one."""
         return self._limiter.find_rate(runner)
 
     def find_blocked_until(
         self, runner: int, tier: ids.Tier, now: float
     ) -> float:
-        """Returns when a request of a tier may be sent there at the soonest."""
+        """Returns the earliest time to send a runner a request of a tier."""
         return self._limiter.find_blocked_until(runner, tier, now)
 
-    # What the limiter asks.
+    # Called by the limiter.
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
-        """Returns all hosts known, or those of a data centre."""
-        return self._others.list_hosts(data_centre)
+        """Returns all known hosts, or those of one data centre."""
+        return self._peers.list_hosts(data_centre)
 
     def pick_round(self) -> list[str]:
-        """Returns the next few hosts to tell an update."""
-        return self._others.pick_round()
+        """Returns the next few hosts to send an update to."""
+        return self._peers.pick_round()
 
     def pick_pair(self) -> list[str]:
-        """Returns the next host here and the next one elsewhere."""
-        return self._others.pick_pair()
+        """Returns the next host in this data centre and the next elsewhere."""
+        return self._peers.pick_pair()
 
     def send_limits(
         self, host: str, message: limit_messages.LimitMessage
     ) -> None:
         """Sends one instance a message."""
-        self._others.tell(host, message)
+        self._peers.tell(host, message)
 
     async def _wait(self, asked: limiter.Asked) -> bool | None:
-        """Returns the answer; None where none came in time."""
+        """Returns the answer, or None if it didn't arrive in time."""
         waiting: asyncio.Future[bool] = self._loop.create_future()
         self._waiting[asked.number] = waiting
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 return await waiting
         except TimeoutError:
             self._limiter.on_timeout(asked, self._loop.time())
--- a/pollenfork/gateway/tests/test_limit_events.py
+++ b/pollenfork/gateway/tests/test_limit_events.py
@@ -20,14 +20,14 @@
 
 
 @pytest.fixture
-def told(caplog):
+def events(caplog):
     caplog.set_level(logging.INFO)
     return limit_events.LimitEvents()
 
 
-def test_each_change_of_a_limit_is_logged_once(told, caplog) -> None:
+def test_each_change_of_a_limit_is_logged_once(events, caplog) -> None:
     for rate in (2.5, 2.5, 5.0, None, None):
-        told.on_answer(RUNNER, figures.Reading(rate))
+        events.on_answer(RUNNER, figures.Reading(rate))
     assert [record.getMessage() for record in caplog.records] == [
         "event=limit_named runner=r1 rate=2.5 before=-",
         "event=limit_named runner=r1 rate=5 before=2.5",
@@ -35,11 +35,13 @@
     ]
 
 
-def test_sends_are_counted_while_a_limit_is_named(told, caplog) -> None:
-    told.on_sent(RUNNER, 1.0)
-    told.on_answer(RUNNER, figures.Reading(2.0))
+def test_sent_requests_are_counted_while_a_limit_is_declared(
+    events, caplog
+) -> None:
+    events.on_sent(RUNNER, 1.0)
+    events.on_answer(RUNNER, figures.Reading(2.0))
     for now in (2.0, 2.5, 6.2):
-        told.on_sent(RUNNER, now)
+        events.on_sent(RUNNER, now)
     lines = [record.getMessage() for record in caplog.records][1:]
     assert lines == [
         "event=limited_sends runner=r1 rate=2 sent=1 window_ms=4000",
@@ -47,12 +49,12 @@
     ]
 
 
-def test_a_figure_that_says_nothing_is_logged_and_changes_nothing(
-    told, caplog
+def test_an_unreadable_limit_is_logged_once_and_changes_nothing(
+    events, caplog
 ) -> None:
-    told.on_answer(RUNNER, figures.Reading(2.0))
-    told.on_answer(RUNNER, figures.interpret((None,)))
-    told.on_answer(RUNNER, figures.interpret((None,)))
+    events.on_answer(RUNNER, figures.Reading(2.0))
+    events.on_answer(RUNNER, figures.interpret((None,)))
+    events.on_answer(RUNNER, figures.interpret((None,)))
     assert [record.levelname for record in caplog.records] == [
         "INFO",
         "WARNING",
--- a/pollenfork/gateway/tests/test_permits.py
+++ b/pollenfork/gateway/tests/test_permits.py
@@ -27,7 +27,7 @@
 
 
 @run
-async def test_what_a_limited_runner_may_not_take_goes_elsewhere() -> None:
+async def test_requests_over_a_runners_limit_go_to_another_runner() -> None:
     first = support.Runner("a", *[LIMITED] * 9)
     second = support.Runner("b", *[UNLIMITED] * 9)
     route = support.make_route(routes.Kind.REPEATABLE)
@@ -39,7 +39,9 @@
 
 
 @run
-async def test_where_all_are_limited_a_request_is_refused_as_not_run() -> None:
+async def test_if_all_runners_are_limited_a_request_is_refused_as_not_run() -> (
+    None
+):
     only = support.Runner("a", *[LIMITED] * 9)
     route = support.make_route(routes.Kind.REPEATABLE)
     async with support.run_gateway(route, only) as gateway:
@@ -49,7 +51,7 @@
     assert answer.startswith(b"HTTP/1.1 503")
     assert b"runners_limited" in answer
     assert read_retry_after(answer) >= 1.0
-    # Both may come back at the runner's rate only.
+    # Both requests may be retried only at the runner's rate.
     assert read_retry_after(again) >= read_retry_after(answer) + 1.0
     assert len(only.got) == 1
 
@@ -64,7 +66,7 @@
 
 
 @run
-async def test_an_unsafe_request_keeps_to_the_rate_too() -> None:
+async def test_the_limit_applies_to_unsafe_requests() -> None:
     only = support.Runner("a", *[LIMITED] * 9)
     route = support.make_route(routes.Kind.AT_MOST_ONCE, attempts=1)
     async with support.run_gateway(route, only) as gateway:
@@ -75,7 +77,7 @@
 
 
 @run
-async def test_a_repeat_at_a_limited_runner_needs_a_permit() -> None:
+async def test_a_retry_at_a_limited_runner_needs_a_permit() -> None:
     first = support.Runner("a", support.REFUSED, UNLIMITED)
     second = support.Runner("b", LIMITED, UNLIMITED)
     route = support.make_route(routes.Kind.REPEATABLE)
@@ -90,7 +92,7 @@
 
 
 @run
-async def test_a_stream_names_its_runners_limit_as_it_begins() -> None:
+async def test_a_streams_head_declares_its_runners_limit() -> None:
     body = support.write_events(0, 1)
     stream = support.write_stream(body, whole=False)
     stream = stream.replace(b"x-seal: z", b"x-seal: z\r\nx-rate: 2.0")
@@ -106,7 +108,7 @@
 
 
 @run
-async def test_a_refusal_names_a_limit_and_does_not_end_one() -> None:
+async def test_a_refusal_may_declare_a_limit_but_does_not_end_one() -> None:
     only = support.Runner("a", REFUSED, support.REFUSED)
     route = support.make_route(routes.Kind.REPEATABLE, attempts=1)
     async with support.run_gateway(route, only) as gateway:
@@ -121,7 +123,7 @@
 
 
 @run
-async def test_another_runner_at_its_address_names_nothing_of_it() -> None:
+async def test_a_limit_of_another_runner_at_its_address_is_ignored() -> None:
     displaced = support.DISPLACED.replace(
         b"x-displaced: 1", b"x-displaced: 1\r\nx-rate: 0.5"
     )
@@ -133,7 +135,7 @@
 
 
 @run
-async def test_a_limited_runner_is_not_held_to_fail() -> None:
+async def test_a_limited_runner_does_not_count_as_failing() -> None:
     only = support.Runner("a", *[LIMITED] * 9)
     route = support.make_route(routes.Kind.REPEATABLE)
     async with support.run_gateway(route, only) as gateway:
