--- a/pollenfork/gateway/counters.py
+++ b/pollenfork/gateway/counters.py
@@ -1,4 +1,4 @@
-"""What the gateway counts, and how a scraper sees it."""
+"""The gateway's counters and latencies, and their export as metrics."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 
 class Served(msgspec.Struct, frozen=True):
-    """How long an answer of a runner took, in seconds.
+    """The latencies of a runner's answer, in seconds.
 
     Attributes:
         whole_s: From the request's arrival to the answer's end.
-        first_s: From the arrival to the first event, or the whole answer.
+        first_s: From the arrival to the first event, or to the end of an
+            answer without events.
         gap_s: The longest pause between events.
     """
 
@@ -41,11 +42,11 @@
 
 
 class Latencies(msgspec.Struct):
-    """Times by bucket, until a scraper takes them.
+    """Observed times by bucket, until the next scrape.
 
     Attributes:
-        counts: Times not yet shown to a scraper, by bucket.
-        totals_s: Their sums, by bucket.
+        counts: The number of observations since the last scrape, by bucket.
+        totals_s: Their sums in seconds, by bucket.
     """
 
     counts: list[int] = msgspec.field(
@@ -56,13 +57,13 @@
     )
 
     def note(self, seconds: float) -> None:
-        """Counts one time."""
+        """Adds one observation."""
         bucket = bisect.bisect_left(_BOUNDS_S, seconds)
         self.counts[bucket] += 1
         self.totals_s[bucket] += seconds
 
     def take(self) -> list[float]:
-        """Returns times with the same buckets and sum, and forgets them."""
+        """Returns times with the same buckets and sum, and resets them."""
         times = [
             total_s / count
             for count, total_s in zip(self.counts, self.totals_s, strict=True)
@@ -74,12 +75,12 @@
 
 
 class Series(msgspec.Struct, frozen=True):
-    """A metric with the class of requests that it is of.
+    """A metric with the labels of one time series.
 
     Attributes:
         metric: The metric's name.
-        kind: What of the requests may be repeated.
-        tier: Their route's urgency.
+        kind: Whether and how the requests may be retried.
+        tier: The urgency of the requests' route.
     """
 
     metric: str
@@ -88,18 +89,18 @@
 
     @classmethod
     def of(cls, metric: str, route: routes.Route) -> Series:
-        """Returns a metric of a route's requests.
+        """Returns the series of a route's requests.
 
-        Routes come and go by the hundred, so none is a label.
+        The route isn't a label, because hundreds of routes come and go.
         """
         return cls(metric, route.kind.value, route.tier)
 
 
 class Counters:
-    """Counts of answers, refusals and repeats.
+    """Counts answers, refusals and retries.
 
-    The metrics library takes 12 MB of memory, so it is loaded when somebody
-    first asks; until then these are plain numbers.
+    The metrics library takes 12 MB of memory, so it is loaded at the first
+    scrape; until then these are plain numbers.
     """
 
     def __init__(self) -> None:
@@ -113,20 +114,20 @@
         self._metrics: metrics.Metrics | None = None
         self._on_shown: list[Callable[[metrics.Metrics], None]] = []
 
-    def when_shown(self, call: Callable[[metrics.Metrics], None]) -> None:
-        """Calls `call` before each scrape, to set what it has counted."""
-        self._on_shown.append(call)
+    def when_shown(self, callback: Callable[[metrics.Metrics], None]) -> None:
+        """Calls `callback` at each scrape, to export further metrics."""
+        self._on_shown.append(callback)
 
     def note_sent(self) -> None:
-        """Counts a request handed to a runner."""
+        """Counts a request sent to a runner."""
         self._sent += 1
 
     def note_wait(self, route: routes.Route, seconds: float) -> None:
-        """Counts a request for which a runner was first chosen."""
+        """Records how long a request waited until a runner was chosen."""
         self._observe("pollenfork_request_wait_seconds", route, seconds)
 
     def note_served(self, route: routes.Route, served: Served) -> None:
-        """Counts an answer of a runner handed to its caller."""
+        """Counts an answer of a runner that was sent to its caller."""
         self._observe("pollenfork_answer_seconds", route, served.whole_s)
         self._observe("pollenfork_first_token_seconds", route, served.first_s)
         if route.kind is routes.Kind.STREAM:
@@ -138,24 +139,24 @@
         self._targets[series] = self._targets.get(series, 0) + 1
 
     def note_refused(self, reason: replies.Reason) -> None:
-        """Counts an answer of the gateway's own."""
+        """Counts a request that the gateway itself refused."""
         self._refused[reason] = self._refused.get(reason, 0) + 1
 
     def note_repeat(self, end: fleet_messages.End) -> None:
-        """Counts a further attempt, by how the one before ended."""
+        """Counts a retry, by how the previous attempt ended."""
         self._repeats[end] = self._repeats.get(end, 0) + 1
 
     def note_not_repeated(self, sequel: repetition.Sequel) -> None:
-        """Counts a failed attempt that no other follows, by why."""
+        """Counts a failed attempt that isn't retried, by reason."""
         count = self._not_repeated.get(sequel, 0)
         self._not_repeated[sequel] = count + 1
 
     def note_gone(self) -> None:
-        """Counts a caller that left before its answer was whole."""
+        """Counts a caller that disconnected before its answer was complete."""
         self._gone += 1
 
     def write(self) -> bytes:
-        """Returns all counts in the text form of Prometheus."""
+        """Returns all metrics in the text format of Prometheus."""
         shown = self._load_metrics()
         shown.set_count("pollenfork_attempts_total", self._sent)
         shown.set_count("pollenfork_callers_gone_total", self._gone)
--- a/pollenfork/gateway/probing.py
+++ b/pollenfork/gateway/probing.py
@@ -1,8 +1,8 @@
-"""Finds out when runners that were out of reach can be reached again.
+"""Finds out when unreachable runners can be reached again.
 
-A request that waits for a connection which can't be made is lost for nothing,
-and its caller could be served by an instance elsewhere. So requests pass such
-runners over, and connections are tried beside them.
+A request that waits for a connection that can't be made fails in vain, although
+an instance elsewhere could serve its caller. So requests skip such runners, and
+test connections are made independently of requests.
 """
 
 import asyncio
@@ -19,17 +19,18 @@
 
 _LOG = logging.getLogger(__name__)
 
-# How often a connection is tried, in seconds; it doubles up to the longest.
-# Cuts last for seconds, and each try is a new connection for the runner.
-_FIRST_S = 0.4
-_LONGEST_S = 1.0
-# Nobody waits for this connection: it may take as long as packets wait on a
-# busy link, in seconds, where a request's own attempts fail.
-_CONNECT_S = 1.5
+# The pause between test connections, in seconds; it doubles up to the longest.
+# Outages last for seconds, and each test is a new connection for the runner.
+_FIRST_PAUSE_S = 0.4
+_LONGEST_PAUSE_S = 1.0
+# The timeout of a test connection, in seconds. No request waits for it, so it
+# may take as long as packets queue on a busy link, where a request's own
+# attempts would time out.
+_CONNECT_TIMEOUT_S = 1.5
 
 
 class Prober:
-    """Tries connections to runners that are out of reach."""
+    """Makes test connections to unreachable runners."""
 
     def __init__(
         self,
@@ -37,12 +38,12 @@
         runners: registry.Registry,
         rng: random.Random,
     ) -> None:
-        """Takes what it needs.
+        """Creates a prober that watches no runner yet.
 
         Args:
-            connections: Makes connections and keeps them.
-            runners: Tells which runners there still are.
-            rng: Spreads the tries of many instances.
+            connections: Makes connections and keeps them open.
+            runners: The registered runners.
+            rng: Spreads the test connections of many instances over time.
         """
         self._pool = connections
         self._runners = runners
@@ -50,29 +51,33 @@
         self._tasks: dict[fleet.Incarnation, asyncio.Task[None]] = {}
 
     def watch(self, runner: fleet.Runner, seen: standing.Standing) -> None:
-        """Tries a runner until it is reached or gone."""
-        tried = runner.incarnation
-        if tried in self._tasks:
+        """Probes a runner until it is reachable or gone."""
+        probed = runner.incarnation
+        if probed in self._tasks:
             return
-        # What is kept may be as dead, and tell nobody.
+        # Idle connections may be broken too, without having been noticed.
         self._pool.forget(runner.id)
-        task = asyncio.get_running_loop().create_task(self._try(runner, seen))
-        self._tasks[tried] = task
-        task.add_done_callback(lambda done: self._tasks.pop(tried, None))
+        task = asyncio.get_running_loop().create_task(self._probe(runner, seen))
+        self._tasks[probed] = task
+        task.add_done_callback(lambda done: self._tasks.pop(probed, None))
 
     def close(self) -> None:
-        """Ends all tries."""
+        """Cancels all probes."""
         for task in list(self._tasks.values()):
             task.cancel()
 
-    async def _try(self, runner: fleet.Runner, seen: standing.Standing) -> None:
-        pause_s = _FIRST_S
+    async def _probe(
+        self, runner: fleet.Runner, seen: standing.Standing
+    ) -> None:
+        pause_s = _FIRST_PAUSE_S
         tries = 0
         while not seen.reachable and self._is_known(runner):
             await asyncio.sleep(pause_s * self._rng.uniform(0.8, 1.2))
-            pause_s = min(pause_s * 2, _LONGEST_S)
+            pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
             tries += 1
-            opened = await self._pool.open(runner, _CONNECT_S, _CONNECT_S)
+            opened = await self._pool.open(
+                runner, _CONNECT_TIMEOUT_S, _CONNECT_TIMEOUT_S
+            )
             if isinstance(opened, result.Err):
                 continue
             await asyncio.sleep(endings.DROPPED_S)
@@ -87,6 +92,6 @@
         )
 
     def _is_known(self, runner: fleet.Runner) -> bool:
-        """Returns whether the runner is there and hasn't started anew."""
+        """Returns whether the runner is registered and hasn't restarted."""
         known = self._runners.find(runner.id)
         return known is not None and known.incarnation == runner.incarnation
--- a/pollenfork/gateway/readiness.py
+++ b/pollenfork/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Whether callers should be sent here, and why not."""
+"""Whether the load balancer should send callers here, and why not."""
 
 from collections.abc import Callable
 import enum
@@ -10,7 +10,7 @@
 
 
 class State(enum.Enum):
-    """What an instance is fit for."""
+    """Whether an instance is ready, or why it isn't."""
 
     READY = "ready"
     NO_SETTINGS = "no_settings"
@@ -20,10 +20,10 @@
 
 
 class Readiness:
-    """Judges the instance's state and tells of each change.
+    """Determines the instance's state and logs each change.
 
     Attributes:
-        state: The state as last judged.
+        state: The state at the last check.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         Args:
             now: Monotonic seconds.
         """
-        state = self._judge(now)
+        state = self._determine_state(now)
         if state is not self.state:
-            self._tell(state, now)
+            self._log_change(state, now)
             self.state = state
         return state is State.READY
 
-    def _judge(self, now: float) -> State:
+    def _determine_state(self, now: float) -> State:
         known = self._known
         if self._is_stopping():
             return State.STOPPING
@@ -57,7 +57,7 @@
             return State.SETTINGS_STALE
         return State.READY
 
-    def _tell(self, state: State, now: float) -> None:
+    def _log_change(self, state: State, now: float) -> None:
         known = self._known
         age_s = known.freshness.age(now)
         _LOG.info(
--- a/pollenfork/gateway/scrape.py
+++ b/pollenfork/gateway/scrape.py
@@ -1,4 +1,4 @@
-"""What the parts of a gateway have counted, as a scraper is shown it."""
+"""Exports the counts of a gateway's parts as metrics."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -18,13 +18,13 @@
     known: cluster_state.ClusterState,
     caller_faults: Mapping[str, int],
 ) -> None:
-    """Shows the counts of all parts, and the settings.
+    """Exports the counts of all parts, and the state of the settings.
 
     Args:
-        shown: Takes them.
-        tools: What exchanges share.
-        known: What is known of the configuration and of the runners.
-        caller_faults: Bytes that were no proper request, by what was wrong.
+        shown: Receives the metrics.
+        tools: The dependencies that exchanges share.
+        known: The configuration and the runners.
+        caller_faults: The number of malformed requests, by fault.
     """
     for fault, count in caller_faults.items():
         shown.set_count("pollenfork_caller_faults_total", count, reason=fault)
--- a/pollenfork/gateway/tests/test_counters.py
+++ b/pollenfork/gateway/tests/test_counters.py
@@ -8,16 +8,16 @@
 from pollenfork.routes import model
 
 
-def serve(counted: counters.Counters, *times: float) -> None:
+def record_served(counted: counters.Counters, *times: float) -> None:
     route = support.make_route(model.Kind.STREAM)
     for seconds in times:
         served = counters.Served(whole_s=seconds, first_s=seconds / 2)
         counted.note_served(route, served)
 
 
-def test_counts_are_shown_to_a_scraper() -> None:
+def test_counts_are_exported_at_a_scrape() -> None:
     counted = counters.Counters()
-    serve(counted, 0.07, 0.09, 3.0)
+    record_served(counted, 0.07, 0.09, 3.0)
     counted.note_wait(support.make_route(model.Kind.STREAM), 0.01)
     counted.note_sent()
     counted.note_gone()
@@ -41,7 +41,7 @@
         assert "pollenfork_callers_gone_total 1" in text
 
 
-def test_other_parts_add_what_they_counted_to_each_scrape() -> None:
+def test_callbacks_add_metrics_to_each_scrape() -> None:
     counted = counters.Counters()
     counted.when_shown(lambda shown: shown.set_gauge("x_revision", 7))
     assert "x_revision 7" in counted.write().decode()
