--- a/pollenfork/gateway/settings.py
+++ b/pollenfork/gateway/settings.py
@@ -1,4 +1,4 @@
-"""What one gateway process is told at its start."""
+"""The settings of one gateway process."""
 
 import msgspec
 
@@ -7,12 +7,13 @@
 
 Address = loads.Address
 
-# How often a runner renews its entry where the settings don't say, in seconds;
-# today's deployments have 1.2.
+# How often a runner renews its entry by default, in seconds; the deployments
+# use 1.2.
 HEARTBEAT_S = 1.2
 
-# What a process takes over while it runs; the rest holds from its next start.
-_CHANGEABLE = frozenset(
+# Settings that a running process applies on a reload. The others take effect at
+# its next start.
+_RELOADABLE = frozenset(
     {
         "seeds",
         "grace_s",
@@ -25,15 +26,15 @@
 
 
 class DutySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What one instance at a time does for all, and by which bounds.
+    """The duties that one instance at a time performs, and their limits.
 
     Attributes:
-        platform: Where that is told.
-        reports: Whether the platform is told what began to run.
-        scales: Whether it is told how many runners there shall be.
-        window_s: The length of a window of reports, in seconds.
+        platform: The platform's address.
+        reports: Whether to report started requests to the platform.
+        scales: Whether to order runners from the platform.
+        window_s: The length of a report's window, in seconds.
         due_s: When a window's report is due, in seconds after its end.
-        alternation_s: Seconds within which two holders must not act by turns.
+        alternation_s: Seconds within which two holders must not alternate.
     """
 
     platform: Address
@@ -44,10 +45,10 @@
     alternation_s: float = 3.0
 
     def __post_init__(self) -> None:
-        """Refuses what can't be meant.
+        """Validates the durations.
 
         Raises:
-            ValueError: A time isn't above 0.
+            ValueError: A duration isn't above 0.
         """
         for name in ("window_s", "due_s", "alternation_s"):
             if getattr(self, name) <= 0:
@@ -55,25 +56,26 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Addresses, limits and bounds.
+    """Addresses and limits of a gateway process.
 
     Attributes:
         instance: This instance's name.
-        data_centre: Where it runs.
-        front: Where callers connect.
-        readiness: Where the balancer asks whether to send callers.
-        store: The platform's store.
-        metrics: Where metrics are shown; None: nowhere.
-        peer: Where other instances' datagrams arrive; None: it is alone.
-        seeds: Instances that may know others.
+        data_centre: The data centre in which it runs.
+        front: The address at which callers connect.
+        readiness: The address of the load balancer's readiness checks.
+        store: The address of the platform's store.
+        metrics: The address at which metrics are served; None disables them.
+        peer: The address for other instances' datagrams; None runs it without
+            peers.
+        seeds: Instances to contact first in order to find others.
         grace_s: Seconds from the signal to stop until the process is killed.
-        revocation_s: Seconds in which a key taken away stops working
-            everywhere; None where no bound holds.
-        retry_ratio: Repeats allowed to all instances, for each request.
+        revocation_s: Seconds within which a revoked key stops working
+            everywhere; None for no limit.
+        retry_ratio: Retries allowed to all instances together, per request.
         retry_window_s: The window of that ratio in seconds.
-        retry_extra: Repeats allowed to all instances in a window besides.
+        retry_extra: Additional retries allowed to all instances per window.
         heartbeat_s: Seconds between two renewals of a runner's entry.
-        duties: What one instance does for all; None: nothing.
+        duties: The duties that one instance performs for all; None for none.
     """
 
     instance: ids.InstanceId
@@ -92,32 +94,32 @@
     heartbeat_s: float = HEARTBEAT_S
     duties: DutySettings | None = None
 
-    def find_changes(self, told: "GatewaySettings") -> "Changes":
-        """Returns what is different in settings read anew."""
+    def find_changes(self, reloaded: "GatewaySettings") -> "Changes":
+        """Returns how reloaded settings differ from these."""
         before = msgspec.structs.asdict(self)
         changed = [
             name
-            for name, value in msgspec.structs.asdict(told).items()
+            for name, value in msgspec.structs.asdict(reloaded).items()
             if value != before[name]
         ]
         return Changes(
-            taken=tuple(name for name in changed if name in _CHANGEABLE),
-            left=tuple(name for name in changed if name not in _CHANGEABLE),
+            applied=tuple(name for name in changed if name in _RELOADABLE),
+            pending=tuple(name for name in changed if name not in _RELOADABLE),
         )
 
-    def take(self, told: "GatewaySettings") -> "GatewaySettings":
-        """Returns these settings with what may change of others."""
-        fresh = {name: getattr(told, name) for name in _CHANGEABLE}
+    def with_reloadable(self, reloaded: "GatewaySettings") -> "GatewaySettings":
+        """Returns these settings with the reloadable ones of others."""
+        fresh = {name: getattr(reloaded, name) for name in _RELOADABLE}
         return msgspec.structs.replace(self, **fresh)
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a running process makes of changed settings.
+    """The settings that differ after a reload.
 
     Attributes:
-        taken: Names of the settings that it takes over.
-        left: Those that it will have from its next start.
+        applied: Names of the settings that take effect immediately.
+        pending: Names of those that take effect at the next start.
     """
 
-    taken: tuple[str, ...]
-    left: tuple[str, ...]
+    applied: tuple[str, ...]
+    pending: tuple[str, ...]
