--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -104,9 +104,9 @@
 # Planted: a relay is waited for, and the store isn't asked beside it.
 def test_relays_asked_one_after_the_other_are_seen(monkeypatch) -> None:
     monkeypatch.setattr(
-        following.Follower, "_ask_store_beside", lambda self: None
+        following.Follower, "_ask_store_in_parallel", lambda self: None
     )
-    monkeypatch.setattr(following, "_RELAY_LATEST_S", 0.4)
+    monkeypatch.setattr(following, "_RELAY_CALL_TIMEOUT_S", 0.4)
     assert list_rules([20_010, 20_011]) & {"late", "late_version"}
 
 
