--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -16,7 +16,6 @@
 from pollenfork.fleet import choice
 from pollenfork.fleet import evidence
 from pollenfork.fleet import repeats
-from pollenfork.gateway import autoscaler
 from pollenfork.gateway import cache_feed
 from pollenfork.gateway import callers
 from pollenfork.gateway import cluster_state
@@ -35,6 +34,7 @@
 from pollenfork.gateway import quarantine_store
 from pollenfork.gateway import readiness
 from pollenfork.gateway import refusals
+from pollenfork.gateway import scaler
 from pollenfork.gateway import scrape
 from pollenfork.gateway import settings
 from pollenfork.gateway import sources
@@ -177,9 +177,7 @@
             and config.duties
             and config.duties.scales
         ):
-            orders = autoscaler.Autoscaler(
-                self._duty_agent.office, self.known, chooser
-            )
+            orders = scaler.Scaler(self._duty_agent.office, self.known, chooser)
             self._duty_agent.when_held(orders.check)
             self._duty_agent.when_answered(orders.record_reply)
         self._peers: peers.Peers | None = None
--- a/pollenfork/gateway/scaler.py
+++ b/pollenfork/gateway/scaler.py
@@ -23,7 +23,7 @@
 _SETTLE_S = 1.0
 
 
-class Autoscaler:
+class Scaler:
     """Turns the load of runners into orders for more or fewer of them."""
 
     def __init__(
@@ -32,7 +32,7 @@
         known: cluster_state.ClusterState,
         chooser: choice.Chooser,
     ) -> None:
-        """Creates an autoscaler without planners.
+        """Creates a scaler without planners.
 
         Args:
             held: Receives the orders.
