--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -181,9 +181,9 @@
             self._duty_agent.when_held(orders.check)
             self._duty_agent.when_answered(orders.record_reply)
         self._peers: peers.Peers | None = None
-        self.counters.when_shown(self._show_state)
+        self.counters.when_scraped(self._show_state)
         if self._duty_agent is not None:
-            self.counters.when_shown(self._duty_agent.show)
+            self.counters.when_scraped(self._duty_agent.show)
         taken = intake.Intake(self._tools, self.known, self._readiness)
         self._front = callers.Server(self._loop, taken.serve)
         self._probes = callers.Server(self._loop, taken.serve_probe)
--- a/pollenfork/gateway/counters.py
+++ b/pollenfork/gateway/counters.py
@@ -21,7 +21,7 @@
 _BOUNDS_S = metric_help.LATENCY_BOUNDS_S
 
 
-class Served(msgspec.Struct, frozen=True):
+class AnswerLatency(msgspec.Struct, frozen=True):
     """The latencies of a runner's answer, in seconds.
 
     Attributes:
@@ -114,19 +114,19 @@
         self._metrics: metrics.Metrics | None = None
         self._on_shown: list[Callable[[metrics.Metrics], None]] = []
 
-    def when_shown(self, callback: Callable[[metrics.Metrics], None]) -> None:
+    def when_scraped(self, callback: Callable[[metrics.Metrics], None]) -> None:
         """Calls `callback` at each scrape, to export further metrics."""
         self._on_shown.append(callback)
 
-    def note_sent(self) -> None:
+    def record_attempt(self) -> None:
         """Counts a request sent to a runner."""
         self._sent += 1
 
-    def note_wait(self, route: routes.Route, seconds: float) -> None:
+    def record_wait(self, route: routes.Route, seconds: float) -> None:
         """Records how long a request waited until a runner was chosen."""
         self._observe("pollenfork_request_wait_seconds", route, seconds)
 
-    def note_served(self, route: routes.Route, served: Served) -> None:
+    def record_served(self, route: routes.Route, served: AnswerLatency) -> None:
         """Counts an answer of a runner that was sent to its caller."""
         self._observe("pollenfork_answer_seconds", route, served.whole_s)
         self._observe("pollenfork_first_token_seconds", route, served.first_s)
@@ -138,20 +138,20 @@
         series = Series.of(metric, route)
         self._targets[series] = self._targets.get(series, 0) + 1
 
-    def note_refused(self, reason: replies.Reason) -> None:
+    def record_refused(self, reason: replies.Reason) -> None:
         """Counts a request that the gateway itself refused."""
         self._refused[reason] = self._refused.get(reason, 0) + 1
 
-    def note_repeat(self, end: fleet_messages.End) -> None:
+    def record_retry(self, end: fleet_messages.End) -> None:
         """Counts a retry, by how the previous attempt ended."""
         self._repeats[end] = self._repeats.get(end, 0) + 1
 
-    def note_not_repeated(self, sequel: repetition.Sequel) -> None:
+    def record_not_retried(self, sequel: repetition.Sequel) -> None:
         """Counts a failed attempt that isn't retried, by reason."""
         count = self._not_repeated.get(sequel, 0)
         self._not_repeated[sequel] = count + 1
 
-    def note_gone(self) -> None:
+    def record_disconnect(self) -> None:
         """Counts a caller that disconnected before its answer was complete."""
         self._gone += 1
 
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -165,7 +165,7 @@
                 nobody = found.err_value.nobody
                 return attempt.Ended(_End.UNSENT, nobody=nobody)
             self._course.sent += 1
-            self._tools.counters.note_sent()
+            self._tools.counters.record_attempt()
             return await self._exchange(grant, found.ok_value)
         finally:
             self._tools.chooser.settle(grant)
@@ -318,7 +318,7 @@
             self._caller.write(b"0\r\n\r\n")
         took_s = self._record.took_s
         first_s = took_s if self._first_s is None else self._first_s
-        served = counters.Served(took_s, first_s, self._gap_s)
+        served = counters.AnswerLatency(took_s, first_s, self._gap_s)
         self._record.note_answer(
             self._runner, ended.head.status, served, self._course
         )
--- a/pollenfork/gateway/intake.py
+++ b/pollenfork/gateway/intake.py
@@ -66,7 +66,7 @@
         refusal: replies.Refusal,
         request: str,
     ) -> None:
-        self._tools.counters.note_refused(refusal.reason)
+        self._tools.counters.record_refused(refusal.reason)
         age_s = self._known.freshness.age(self._tools.loop.time())
         known = self._known.lookup
         _LOG.info(
--- a/pollenfork/gateway/record.py
+++ b/pollenfork/gateway/record.py
@@ -51,7 +51,7 @@
         """Tells which runner was chosen and why."""
         admitted = self._admitted
         if not course.searched:
-            self._counters.note_wait(admitted.route, self.took_s)
+            self._counters.record_wait(admitted.route, self.took_s)
         loads_age_s = self._read_loads_age()
         _LOG.info(
             "event=chosen request=%s route=%s tier=%d configuration=%d "
@@ -87,9 +87,9 @@
     ) -> None:
         """Tells how an attempt failed and what follows."""
         if sequel is repetition.Sequel.REPEATED:
-            self._counters.note_repeat(ended.end)
+            self._counters.record_retry(ended.end)
         else:
-            self._counters.note_not_repeated(sequel)
+            self._counters.record_not_retried(sequel)
         _LOG.warning(
             "event=attempt_failed request=%s digest=%016x runner=%s end=%s "
             "breach=%s status=%s route=%s took_ms=%d left_ms=%d sent=%d "
@@ -140,12 +140,12 @@
         self,
         runner: ids.EndpointId | None,
         status: int,
-        served: counters.Served,
+        served: counters.AnswerLatency,
         course: repetition.Course,
     ) -> None:
         """Tells that a runner's answer was handed to the caller."""
         route = self._admitted.route
-        self._counters.note_served(route, served)
+        self._counters.record_served(route, served)
         _LOG.info(
             "event=answered request=%s route=%s runner=%s status=%d "
             "took_ms=%d first_ms=%d target_ms=%d gap_ms=%d gap_target_ms=%d "
@@ -170,7 +170,7 @@
         course: repetition.Course,
     ) -> None:
         """Tells the gateway's own final answer."""
-        self._counters.note_refused(reason)
+        self._counters.record_refused(reason)
         _LOG.warning(
             "event=given_up request=%s digest=%016x route=%s reason=%s "
             "may_have_run=%s sent=%d configuration=%d took_ms=%d left_ms=%d",
@@ -192,7 +192,7 @@
         course: repetition.Course,
     ) -> None:
         """Tells that the caller left, which ended what ran for it."""
-        self._counters.note_gone()
+        self._counters.record_disconnect()
         _LOG.info(
             "event=caller_gone request=%s route=%s runner=%s sent=%d begun=%s "
             "took_ms=%d left_ms=%d",
--- a/pollenfork/gateway/tests/test_counters.py
+++ b/pollenfork/gateway/tests/test_counters.py
@@ -11,19 +11,19 @@
 def record_served(counted: counters.Counters, *times: float) -> None:
     route = support.make_route(model.Kind.STREAM)
     for seconds in times:
-        served = counters.Served(whole_s=seconds, first_s=seconds / 2)
-        counted.note_served(route, served)
+        served = counters.AnswerLatency(whole_s=seconds, first_s=seconds / 2)
+        counted.record_served(route, served)
 
 
 def test_counts_are_exported_at_a_scrape() -> None:
     counted = counters.Counters()
     record_served(counted, 0.07, 0.09, 3.0)
-    counted.note_wait(support.make_route(model.Kind.STREAM), 0.01)
-    counted.note_sent()
-    counted.note_gone()
-    counted.note_refused(replies.Reason.NO_RUNNER)
-    counted.note_repeat(messages.End.BROKEN)
-    counted.note_not_repeated(repetition.Sequel.BUDGET_SPENT)
+    counted.record_wait(support.make_route(model.Kind.STREAM), 0.01)
+    counted.record_attempt()
+    counted.record_disconnect()
+    counted.record_refused(replies.Reason.NO_RUNNER)
+    counted.record_retry(messages.End.BROKEN)
+    counted.record_not_retried(repetition.Sequel.BUDGET_SPENT)
     labels = 'kind="stream",tier="0"'
     for _ in range(2):  # A second scrape shows the same.
         text = counted.write().decode()
@@ -43,7 +43,7 @@
 
 def test_callbacks_add_metrics_to_each_scrape() -> None:
     counted = counters.Counters()
-    counted.when_shown(lambda shown: shown.set_gauge("x_revision", 7))
+    counted.when_scraped(lambda shown: shown.set_gauge("x_revision", 7))
     assert "x_revision 7" in counted.write().decode()
 
 
@@ -53,5 +53,5 @@
 )
 def test_an_answer_meets_its_targets_or_not(first_s, gap_s, met) -> None:
     route = support.make_route(model.Kind.STREAM)
-    served = counters.Served(whole_s=9.0, first_s=first_s, gap_s=gap_s)
+    served = counters.AnswerLatency(whole_s=9.0, first_s=first_s, gap_s=gap_s)
     assert served.meets(route) is met
--- a/pollenfork/platform/__main__.py
+++ b/pollenfork/platform/__main__.py
@@ -62,7 +62,7 @@
         random.Random(),
         _read_settings,
     )
-    made.counters.when_shown(
+    made.counters.when_scraped(
         lambda shown: shown.set_count(
             "pollenfork_log_lines_missing_total", handler.missing
         )
