--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -68,7 +68,7 @@
         Switch(peers.Peers, "read_others", _give(loads.Load())),
     ),
     "long-prompts-told-at-once": (
-        Switch(peers.Peers, "tell_soon", _do_nothing),
+        Switch(peers.Peers, "announce_soon", _do_nothing),
     ),
     "findings-of-others": (Switch(evidence.Evidence, "take_found", _give([])),),
     "gossip-of-the-store": (Switch(gossip.Gossip, "tell", _give([])),),
--- a/pollenfork/gateway/accounting.py
+++ b/pollenfork/gateway/accounting.py
@@ -82,7 +82,7 @@
         self._tallies.forget(time_now)
         self._ledger.forget(time_now, now)
 
-    def lead(self, now: float) -> None:
+    def record_own_counts(self, now: float) -> None:
         """Agrees on the time and records this instance's own counts.
 
         Called on the duty holder only.
@@ -98,7 +98,7 @@
 
     # Messages between instances.
 
-    def write_tally(self, holder: str, now: float) -> loads.Tally:
+    def make_tally(self, holder: str, now: float) -> loads.Tally:
         """Returns the tally to send to the holder."""
         counted = self._tallies.list_untold(holder)
         self._unacknowledged = {now: counted}
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -256,8 +256,8 @@
         self._tools.permits.join(joined)
         joined.on_limits(self._tools.permits.receive)
         joined.when_ticked(self._tools.permits.tick)
-        self._tools.chooser.when_long(joined.tell_soon)
-        self._tools.suspected.when_urgent(joined.tell_suspicions)
+        self._tools.chooser.when_long(joined.announce_soon)
+        self._tools.suspected.when_urgent(joined.send_suspicions)
         self._peers = joined
         if self._duty_agent is not None:
             self._duty_agent.join(joined)
--- a/pollenfork/gateway/counters.py
+++ b/pollenfork/gateway/counters.py
@@ -157,20 +157,20 @@
 
     def write(self) -> bytes:
         """Returns all metrics in the text format of Prometheus."""
-        shown = self._load_metrics()
-        shown.set_count("pollenfork_attempts_total", self._sent)
-        shown.set_count("pollenfork_callers_gone_total", self._gone)
-        _show(shown, "pollenfork_refusals_total", self._refused)
-        _show(shown, "pollenfork_relay_retries_total", self._repeats)
-        _show(shown, "pollenfork_not_repeated_total", self._not_repeated)
+        output = self._load_metrics()
+        output.set_count("pollenfork_attempts_total", self._sent)
+        output.set_count("pollenfork_callers_gone_total", self._gone)
+        _show(output, "pollenfork_refusals_total", self._refused)
+        _show(output, "pollenfork_relay_retries_total", self._repeats)
+        _show(output, "pollenfork_not_repeated_total", self._not_repeated)
         for series, count in self._targets.items():
-            shown.set_count(series.metric, count, **_label(series))
+            output.set_count(series.metric, count, **_label(series))
         for series, latencies in self._latencies.items():
             for seconds in latencies.take():
-                shown.observe(series.metric, seconds, **_label(series))
+                output.observe(series.metric, seconds, **_label(series))
         for show in self._on_shown:
-            show(shown)
-        content, _ = shown.render()
+            show(output)
+        content, _ = output.render()
         return content
 
     def _observe(
@@ -191,11 +191,11 @@
 
 
 def _show(
-    shown: metrics.Metrics,
+    output: metrics.Metrics,
     metric: str,
     counts: dict[replies.Reason, int]
     | dict[fleet_messages.End, int]
     | dict[repetition.Sequel, int],
 ) -> None:
     for reason, count in counts.items():
-        shown.set_count(metric, count, reason=reason.value)
+        output.set_count(metric, count, reason=reason.value)
--- a/pollenfork/gateway/duty_agent.py
+++ b/pollenfork/gateway/duty_agent.py
@@ -60,7 +60,7 @@
     def list_candidates(self) -> list[str]:
         """Returns all hosts in the order of candidates for duty holder."""
 
-    def tell(self, host: str, message: loads.Message) -> None:
+    def send(self, host: str, message: loads.Message) -> None:
         """Sends one instance a message."""
 
 
@@ -117,18 +117,18 @@
             lambda: self.accounts.windows.find(self.accounts.read_time()),
         )
         now = loop.time()
-        self._others: Peers | None = None
+        self._peers: Peers | None = None
         self._holder = ""
-        self._heard_at = self._holder_since = now
+        self._holder_heard_at = self._holder_since = now
         self._next_tally_at = now
         self._rows = duty_rows.DutyRows(config.store, store)
         self._tasks: set[asyncio.Task[None]] = set()
         self._on_held: list[Callable[[float], None]] = []
         self._on_reply: list[TakeReply] = []
 
-    def join(self, others: Peers) -> None:
+    def join(self, peers: Peers) -> None:
         """Sets the other instances."""
-        self._others = others
+        self._peers = peers
 
     def when_held(self, callback: Callable[[float], None]) -> None:
         """Calls `callback` with the time of each tick as the duty holder."""
@@ -138,10 +138,10 @@
         """Calls `callback` with each answer of the platform and its time."""
         self._on_reply.append(callback)
 
-    def show(self, shown: "metrics.Metrics") -> None:
+    def show(self, output: "metrics.Metrics") -> None:
         """Exports the metrics of the duties."""
-        shown.set_count("pollenfork_duty_claims_total", self.office.claims)
-        self._calls.show(shown)
+        output.set_count("pollenfork_duty_claims_total", self.office.claims)
+        self._calls.show(output)
 
     def receive(
         self, message: loads.Tally | loads.HolderWord, host: str
@@ -153,7 +153,7 @@
             self._receive_holder_word(message, host, now)
             return
         self.accounts.receive_tally(message, host, now)
-        self._answer(message, host, now)
+        self._acknowledge(message, host, now)
 
     async def run(self) -> None:
         """Runs ticks until cancelled."""
@@ -170,22 +170,22 @@
         """Does all work that is due; called ten times a second."""
         self.accounts.sweep(now)
         if self.office.holds(now):
-            self._act(now)
+            self._perform_duties(now)
         elif self._holder == self._host:
             self._holder = ""
         step = self.office.next_step(now, self._is_candidate_due(now))
         if step is not None:
-            self._spawn(self._carry_out(step))
+            self._spawn(self._execute_step(step))
         self._send_tally(now)
 
-    def _act(self, now: float) -> None:
+    def _perform_duties(self, now: float) -> None:
         """Performs the duties, as the holder."""
         if self._holder != self._host:
             self._holder = self._host
             self._holder_since = now
             self._announce(self._list_candidates())
-        self._heard_at = now
-        self.accounts.lead(now)
+        self._holder_heard_at = now
+        self.accounts.record_own_counts(now)
         if self._duties.reports:
             first = self.office.next_window
             for each in self.accounts.sum_up(first, self._holder_since, now):
@@ -205,7 +205,7 @@
 
     def _is_candidate_due(self, now: float) -> bool:
         """Returns whether this instance should try to become the holder."""
-        unheard_s = now - self._heard_at
+        unheard_s = now - self._holder_heard_at
         if unheard_s < _HOLDER_TIMEOUT_S:
             return False
         candidates = self._list_candidates()
@@ -213,16 +213,16 @@
         return unheard_s >= _HOLDER_TIMEOUT_S + rank * _RANK_DELAY_S
 
     def _list_candidates(self) -> list[str]:
-        return [] if self._others is None else self._others.list_candidates()
+        return [] if self._peers is None else self._peers.list_candidates()
 
     def _find_holder(self, now: float) -> str:
         """Returns the holder, or the first candidate if there is none."""
-        if self._holder and now - self._heard_at < _HOLDER_TIMEOUT_S:
+        if self._holder and now - self._holder_heard_at < _HOLDER_TIMEOUT_S:
             return self._holder
         candidates = self._list_candidates()
         return candidates[0] if candidates else self._host
 
-    async def _carry_out(self, step: messages.Step) -> None:
+    async def _execute_step(self, step: messages.Step) -> None:
         if isinstance(step, messages.Read):
             await self._read()
         else:
@@ -236,7 +236,7 @@
         if holder and holder != self._host:
             # The row may be some seconds old; the holder's answer will tell.
             self._holder = holder
-            self._ask(holder, now)
+            self._send_tally_to(holder, now)
 
     async def _write(self, step: messages.Write) -> None:
         written = await self._rows.write(step)
@@ -245,30 +245,30 @@
     # Messages between instances.
 
     def _send_tally(self, now: float) -> None:
-        if self._others is None or now < self._next_tally_at:
+        if self._peers is None or now < self._next_tally_at:
             return
-        size = self._others.instances
+        size = self._peers.instances
         self._next_tally_at = now + max(
             _TALLY_INTERVAL_S, size * _TALLY_INTERVAL_EACH_S
         )
         holder = self._find_holder(now)
         if holder != self._host:
-            self._ask(holder, now)
+            self._send_tally_to(holder, now)
         elif self.office.holds(now):
             # Other instances ask the first candidates who the holder is.
             self._announce(self._list_candidates()[:_ANNOUNCED_CANDIDATES])
 
-    def _ask(self, holder: str, now: float) -> None:
+    def _send_tally_to(self, holder: str, now: float) -> None:
         """Sends this instance's tally to the holder or to a candidate."""
-        if self._others is not None:
-            self._others.tell(holder, self.accounts.write_tally(holder, now))
+        if self._peers is not None:
+            self._peers.send(holder, self.accounts.make_tally(holder, now))
 
-    def _answer(self, tally: loads.Tally, host: str, now: float) -> None:
+    def _acknowledge(self, tally: loads.Tally, host: str, now: float) -> None:
         """Acknowledges a tally and tells its sender who the holder is."""
-        if self._others is None:
+        if self._peers is None:
             return
         holds = self.office.holds(now) and not self.office.struggles
-        age_s = 0.0 if holds else now - self._heard_at
+        age_s = 0.0 if holds else now - self._holder_heard_at
         known = self._holder != self._host and age_s < _HOLDER_TIMEOUT_S
         holder = self._host if holds else self._holder if known else ""
         word = loads.HolderWord(
@@ -279,7 +279,7 @@
             tally.sent_at,
             self.accounts.read_time() if holds else 0.0,
         )
-        self._others.tell(host, word)
+        self._peers.send(host, word)
 
     def _announce(self, hosts: list[str]) -> None:
         """Announces this instance as the holder, or that it can't remain it."""
@@ -288,8 +288,8 @@
             self._data_centre, holder, self.accounts.start, 0.0
         )
         for host in hosts:
-            if self._others is not None and host != self._host:
-                self._others.tell(host, word)
+            if self._peers is not None and host != self._host:
+                self._peers.send(host, word)
 
     def _receive_holder_word(
         self, word: loads.HolderWord, host: str, now: float
@@ -301,16 +301,18 @@
             if host == self._holder:
                 # It can't renew its lease, so waiting for the lease to expire
                 # starts now.
-                self._heard_at = min(self._heard_at, now - _HOLDER_TIMEOUT_S)
+                self._holder_heard_at = min(
+                    self._holder_heard_at, now - _HOLDER_TIMEOUT_S
+                )
             return
-        if heard_at < self._heard_at and word.holder != host:
+        if heard_at < self._holder_heard_at and word.holder != host:
             return
         if word.holder != self._holder:
             _LOG.info("event=duty_holder_changed holder=%s", word.holder)
             delay_s = self._rng.random() * _NEW_HOLDER_SPREAD_S
             self._next_tally_at = min(self._next_tally_at, now + delay_s)
         self._holder = word.holder
-        self._heard_at = max(heard_at, self._heard_at)
+        self._holder_heard_at = max(heard_at, self._holder_heard_at)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(work)
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -91,7 +91,7 @@
         self._parallel_call: asyncio.Task[float] | None = None
         self._missing_since: float | None = None
         self._source = SourceChoice()
-        self._woken = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._watch = watched
         self._cooldown_s = cooldown_s
         self._store_requested = False
@@ -103,7 +103,7 @@
         self._read = read
         self._on_changes: list[Callable[[catalogue.Changes], None]] = []
         self._on_current: list[Callable[[float], None]] = []
-        self._on_trouble: list[Callable[[bool], None]] = []
+        self._on_outage: list[Callable[[bool], None]] = []
         self._on_answer: list[Callable[[float], None]] = []
         self._on_failure: list[Callable[[float], None]] = []
 
@@ -117,9 +117,9 @@
         """Calls `callback` with a time up to which the copy is complete."""
         self._on_current.append(callback)
 
-    def when_troubled(self, callback: Callable[[bool], None]) -> None:
+    def when_outage_changed(self, callback: Callable[[bool], None]) -> None:
         """Calls `callback` with whether the store is lost, on each change."""
-        self._on_trouble.append(callback)
+        self._on_outage.append(callback)
 
     def when_answered(self, callback: Callable[[float], None]) -> None:
         """Calls `callback` with the time of an answer, before its changes."""
@@ -136,7 +136,7 @@
         if source.at_once and not self._source.at_once:
             self._watch.ask_at_once()
         self._source = source
-        self._woken.set()
+        self._wake_event.set()
         if source.news and self._missing_since is None:
             self._missing_since = self._loop.time()
         if source.relay is not None and self._watch.troubled:
@@ -209,14 +209,14 @@
         self._watch.wait_s = wait_s
 
     def ask_store_now(self) -> None:
-        """Asks the store immediately, breaking off a call that is waiting."""
+        """Asks the store immediately, cancelling a call that is waiting."""
         if self._waiting:
             self._store_requested = True
             self._store.break_off()
         elif self._source.relay is not None:
             self._store_requested = True
             self._watch.ask_at_once()
-            self._woken.set()
+            self._wake_event.set()
 
     async def _follow_relay(self, relay: settings.Address) -> bool:
         """Waits until the relay has a newer version, or fetches it.
@@ -225,8 +225,8 @@
             False if the newer version could not be fetched.
         """
         if not self._source.news:
-            self._woken.clear()
-            await self._woken.wait()
+            self._wake_event.clear()
+            await self._wake_event.wait()
             return True
         changes = await self._ask_relay(relay)
         if changes is None:
@@ -247,21 +247,21 @@
         """Returns what changed, or None if the relay had nothing newer."""
         if relay in self._late_calls:
             return None
-        asked = self._get_client(relay)
+        relay_client = self._get_client(relay)
         request = tables.write_ask(self._table)
-        asking = self._loop.create_task(
-            asked.call(request, _RELAY_CALL_TIMEOUT_S)
+        call_task = self._loop.create_task(
+            relay_client.call(request, _RELAY_CALL_TIMEOUT_S)
         )
         try:
-            await asyncio.wait({asking}, timeout=_RELAY_TIMEOUT_S)
+            await asyncio.wait({call_task}, timeout=_RELAY_TIMEOUT_S)
         except asyncio.CancelledError:
-            asking.cancel()
+            call_task.cancel()
             raise
-        if asking.done() and asking.result() is not None:
-            return self._read_answer(relay, asking.result())
-        if not asking.done():
-            self._late_calls[relay] = asking
-            asking.add_done_callback(
+        if call_task.done() and call_task.result() is not None:
+            return self._read_answer(relay, call_task.result())
+        if not call_task.done():
+            self._late_calls[relay] = call_task
+            call_task.add_done_callback(
                 functools.partial(self._on_late_answer, relay)
             )
         self._unresponsive = relay.host
@@ -272,13 +272,13 @@
     def _on_late_answer(
         self,
         relay: settings.Address,
-        asking: asyncio.Task[client.Answer | None],
+        call_task: asyncio.Task[client.Answer | None],
     ) -> None:
         """Handles an answer that arrives after `_RELAY_TIMEOUT_S`."""
         del self._late_calls[relay]
-        if asking.cancelled() or asking.result() is None:
+        if call_task.cancelled() or call_task.result() is None:
             return
-        changes = self._read_answer(relay, asking.result())
+        changes = self._read_answer(relay, call_task.result())
         if changes is not None:
             self._take_changes(changes)
 
@@ -288,20 +288,20 @@
             return
         self._watch.ask_at_once()
         self._parallel_call = self._loop.create_task(
-            self._call_once(breakable=False)
+            self._call_once(cancellable=False)
         )
         self._parallel_call.add_done_callback(self._on_parallel_call_done)
 
-    def _on_parallel_call_done(self, asking: asyncio.Task[float]) -> None:
+    def _on_parallel_call_done(self, call_task: asyncio.Task[float]) -> None:
         self._parallel_call = None
 
     def _get_client(self, relay: settings.Address) -> client.Client:
         """Returns the relay's client; closes the least recently used ones."""
-        found = self._relays.pop(relay, None) or client.Client(relay)
-        self._relays[relay] = found
+        relay_client = self._relays.pop(relay, None) or client.Client(relay)
+        self._relays[relay] = relay_client
         for address in list(self._relays)[:-_MAX_RELAY_CLIENTS]:
             self._relays.pop(address).close()
-        return found
+        return relay_client
 
     def _log_no_answer(
         self, relay: settings.Address, status: int | None
@@ -335,17 +335,17 @@
             return None
         return self._watch.take_table(read.ok_value)
 
-    async def _call_once(self, breakable: bool = True) -> float:
+    async def _call_once(self, cancellable: bool = True) -> float:
         """Calls the store and returns the seconds until the next call.
 
         Args:
-            breakable: Whether the call is broken off when a relay has a newer
+            cancellable: Whether the call is cancelled when a relay has a newer
                 version.
         """
         ask = self._watch.next_ask()
         sent_at = self._loop.time()
         self._waiting = ask.wait_s > 0.0
-        self._calling = breakable
+        self._calling = cancellable
         answer = await self._call(ask)
         self._waiting = self._calling = False
         store_requested, self._store_requested = self._store_requested, False
@@ -362,11 +362,11 @@
             return self._handle_trouble(catalogue.Trouble.STALE, sent_at)
         for on_answer in self._on_answer:
             on_answer(self._loop.time())
-        self._note_recovery()
+        self._report_recovery()
         changes = self._watch.take_rows(ask, rows)
         if changes is None:
             return 0.0
-        if breakable or changes.rows:
+        if cancellable or changes.rows:
             for on_changes in self._on_changes:
                 on_changes(changes)
         moment = self._find_proven_until(ask, rows, sent_at)
@@ -413,15 +413,15 @@
                 self._table.value,
                 trouble.value,
             )
-            for on_trouble in self._on_trouble:
-                on_trouble(True)
+            for on_outage in self._on_outage:
+                on_outage(True)
         elif trouble is catalogue.Trouble.HISTORY_GONE:
             _LOG.info("event=history_gone table=%s", self._table.value)
         return pause_s
 
-    def _note_recovery(self) -> None:
+    def _report_recovery(self) -> None:
         if not self._watch.troubled:
             return
         _LOG.info("event=store_back table=%s", self._table.value)
-        for on_trouble in self._on_trouble:
-            on_trouble(False)
+        for on_outage in self._on_outage:
+            on_outage(False)
--- a/pollenfork/gateway/limit_events.py
+++ b/pollenfork/gateway/limit_events.py
@@ -52,14 +52,14 @@
                 _format(read.rate),
                 read.readable,
             )
-        before = self._rates.get(runner.id)
-        if not read.readable or read.rate == before:
+        previous = self._rates.get(runner.id)
+        if not read.readable or read.rate == previous:
             return
         _LOG.info(
             "event=limit_named runner=%s rate=%s before=%s",
             runner.id,
             _format(read.rate),
-            _format(before),
+            _format(previous),
         )
         if read.rate is None:
             self.forget(runner.id)
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -131,7 +131,7 @@
         self._me = me
         self._transport: asyncio.DatagramTransport | None = None
         self._others: messages.Table = {}
-        self._heard_at: float | None = None
+        self._loads_received_at: float | None = None
         self._instances = 1
         self._relay: str | None = me.host
         self._ticked_at = 0.0
@@ -161,10 +161,10 @@
         """Calls `callback` with messages about rate limits, and their host."""
         self._on_limits.append(callback)
 
-    def tell(self, host: str, message: messages.Message) -> None:
+    def send(self, host: str, message: messages.Message) -> None:
         """Sends one instance a message."""
         to = messages.Address(host, self._me.port)
-        self._send([messages.Send(to, message)])
+        self._send_all([messages.Send(to, message)])
 
     def list_hosts(self, data_centre: str | None = None) -> list[str]:
         """Returns all known hosts, or those of one data centre."""
@@ -204,7 +204,7 @@
             for take_limits in self._on_limits:
                 take_limits(message, address[0])
             return
-        self._send(self._exchange.hear(message, address[0], now))
+        self._send_all(self._exchange.hear(message, address[0], now))
         if isinstance(message, messages.Others):
             self._read_exchange(now)
         elif (
@@ -224,14 +224,14 @@
             for notify in self._on_tick:
                 notify()
 
-    def tell_soon(self) -> None:
+    def announce_soon(self) -> None:
         """Announces early that a long prompt was placed."""
         self._urgent = True
         self._schedule_early_tick()
 
-    def tell_suspicions(self) -> None:
+    def send_suspicions(self) -> None:
         """Sends suspicions of requests that crash runners immediately."""
-        self._send(self._exchange.tell_suspicions(self._loop.time()))
+        self._send_all(self._exchange.tell_suspicions(self._loop.time()))
 
     def _schedule_early_tick(self) -> None:
         """Starts a round as soon as the spacing of rounds allows."""
@@ -246,7 +246,7 @@
             self._early_tick = None
         now = self._ticked_at = self._loop.time()
         urgent, self._urgent = self._urgent, False
-        self._send(self._exchange.tick(now, urgent))
+        self._send_all(self._exchange.tick(now, urgent))
         self._read_exchange(now)
         self._note_changes(now)
 
@@ -284,14 +284,14 @@
 
     def read_age(self) -> float | None:
         """Returns the age of other instances' loads in seconds, if known."""
-        if self._heard_at is None:
+        if self._loads_received_at is None:
             return None
-        return self._loop.time() - self._heard_at
+        return self._loop.time() - self._loads_received_at
 
     def _read_exchange(self, now: float) -> None:
         self._others = self._exchange.read_others(now)
         age_s = self._exchange.read_age(now)
-        self._heard_at = None if age_s is None else now - age_s
+        self._loads_received_at = None if age_s is None else now - age_s
 
     def _note_changes(self, now: float) -> None:
         if self._exchange.instances != self._instances:
@@ -302,7 +302,7 @@
             self._relay = relay
             _LOG.info("event=relay_changed relay=%s", relay or "-")
 
-    def _send(self, sends: list[messages.Send]) -> None:
+    def _send_all(self, sends: list[messages.Send]) -> None:
         if self._transport is None:
             return
         for each in sends:
--- a/pollenfork/gateway/permits.py
+++ b/pollenfork/gateway/permits.py
@@ -38,7 +38,7 @@
     def pick_pair(self) -> list[str]:
         """Returns a host of this data centre and one elsewhere."""
 
-    def tell(self, host: str, message: loads.Message) -> None:
+    def send(self, host: str, message: loads.Message) -> None:
         """Sends one instance a message."""
 
 
@@ -62,7 +62,7 @@
         """Returns none."""
         return []
 
-    def tell(self, host: str, message: loads.Message) -> None:
+    def send(self, host: str, message: loads.Message) -> None:
         """Sends nothing."""
 
 
@@ -226,7 +226,7 @@
         self, host: str, message: limit_messages.LimitMessage
     ) -> None:
         """Sends one instance a message."""
-        self._peers.tell(host, message)
+        self._peers.send(host, message)
 
     async def _wait(self, asked: limiter.Asked) -> bool | None:
         """Returns the answer, or None if it didn't arrive in time."""
--- a/pollenfork/gateway/platform_calls.py
+++ b/pollenfork/gateway/platform_calls.py
@@ -78,17 +78,17 @@
         for task in self._tasks.values():
             task.cancel()
 
-    def show(self, shown: "metrics.Metrics") -> None:
+    def show(self, output: "metrics.Metrics") -> None:
         """Exports the platform's replies and the lateness of reports."""
         for (kind, reply), count in self._replies.items():
-            shown.set_count(
+            output.set_count(
                 "pollenfork_platform_replies_total",
                 count,
                 kind=kind,
                 reason=reply.value,
             )
         for late_s in self._reported_s:
-            shown.observe("pollenfork_window_report_seconds", late_s)
+            output.observe("pollenfork_window_report_seconds", late_s)
         self._reported_s.clear()
 
     async def _call(self, task: messages.Task, take: TakeReply) -> None:
--- a/pollenfork/gateway/probing.py
+++ b/pollenfork/gateway/probing.py
@@ -50,14 +50,16 @@
         self._rng = rng
         self._tasks: dict[fleet.Incarnation, asyncio.Task[None]] = {}
 
-    def watch(self, runner: fleet.Runner, seen: standing.Standing) -> None:
+    def watch(self, runner: fleet.Runner, state: standing.Standing) -> None:
         """Probes a runner until it is reachable or gone."""
         probed = runner.incarnation
         if probed in self._tasks:
             return
         # Idle connections may be broken too, without having been noticed.
         self._pool.forget(runner.id)
-        task = asyncio.get_running_loop().create_task(self._probe(runner, seen))
+        task = asyncio.get_running_loop().create_task(
+            self._probe(runner, state)
+        )
         self._tasks[probed] = task
         task.add_done_callback(lambda done: self._tasks.pop(probed, None))
 
@@ -67,11 +69,11 @@
             task.cancel()
 
     async def _probe(
-        self, runner: fleet.Runner, seen: standing.Standing
+        self, runner: fleet.Runner, state: standing.Standing
     ) -> None:
         pause_s = _FIRST_PAUSE_S
         tries = 0
-        while not seen.reachable and self._is_known(runner):
+        while not state.reachable and self._is_known(runner):
             await asyncio.sleep(pause_s * self._rng.uniform(0.8, 1.2))
             pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
             tries += 1
@@ -83,11 +85,11 @@
             await asyncio.sleep(endings.DROPPED_S)
             if opened.ok_value.usable:
                 self._pool.give_back(runner, opened.ok_value)
-                seen.note_reached()
+                state.note_reached()
         _LOG.info(
             "event=runner_tried runner=%s reachable=%s tries=%d",
             runner.id,
-            seen.reachable,
+            state.reachable,
             tries,
         )
 
--- a/pollenfork/gateway/quarantine_page.py
+++ b/pollenfork/gateway/quarantine_page.py
@@ -60,13 +60,13 @@
         if call.method == b"GET" and call.target == _PATH:
             caller.write(replies.write_document(self._encode_list()))
             return
-        if call.method == b"DELETE" and self._lift(call.target):
+        if call.method == b"DELETE" and self._release(call.target):
             caller.write(replies.write_text(200, b"lifted"))
             return
         caller.write(replies.write_fault(404, "not_kept_back"))
         caller.close_after_answer()
 
-    def _lift(self, target: bytes) -> bool:
+    def _release(self, target: bytes) -> bool:
         name = target.removeprefix(_PATH + b"/")
         try:
             digest = ids.RequestDigest(int(name, 16))
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -82,8 +82,8 @@
         self._read_wall = read_wall
         self._queue: asyncio.Queue[_Write] = asyncio.Queue(_QUEUE_LIMIT)
         self._stored: set[ids.RequestDigest] = set()
-        suspected.book.when_kept(self._note_kept)
-        suspected.book.when_cleared(self._note_cleared)
+        suspected.book.when_kept(self._on_quarantined)
+        suspected.book.when_cleared(self._on_cleared)
 
     async def run(self) -> None:
         """Restores the stored requests, then writes until cancelled."""
@@ -157,7 +157,7 @@
             self._stored.add(case.digest)
             self._suspected.book.restore(case, now)
         for case in found[_ROWS_LIMIT : _ROWS_LIMIT + _QUEUE_LIMIT]:
-            self._put(_Write(case.digest, None))
+            self._enqueue(_Write(case.digest, None))
 
     async def _write(self, write: _Write) -> bool:
         """Returns whether the store accepted or finally rejected a row."""
@@ -170,19 +170,19 @@
             _LOG.error("event=store_refused key=%s status=%d", key, answer[0])
         return True
 
-    def _note_kept(self, case: cases.Case, now: float) -> None:
+    def _on_quarantined(self, case: cases.Case, now: float) -> None:
         if case.digest in self._stored or not self._suspected.saw(case):
             return
         self._stored.add(case.digest)
         value = records.write(case, now, self._read_wall())
-        self._put(_Write(case.digest, value))
+        self._enqueue(_Write(case.digest, value))
 
-    def _note_cleared(self, case: cases.Case, now: float) -> None:
+    def _on_cleared(self, case: cases.Case, now: float) -> None:
         if case.kept_since is None and case.digest in self._stored:
             self._stored.discard(case.digest)
-            self._put(_Write(case.digest, None))
+            self._enqueue(_Write(case.digest, None))
 
-    def _put(self, write: _Write) -> None:
+    def _enqueue(self, write: _Write) -> None:
         if self._queue.full():
             self._queue.get_nowait()
         self._queue.put_nowait(write)
--- a/pollenfork/gateway/scaler.py
+++ b/pollenfork/gateway/scaler.py
@@ -28,18 +28,18 @@
 
     def __init__(
         self,
-        held: office.Office,
+        duty_office: office.Office,
         known: cluster_state.ClusterState,
         chooser: choice.Chooser,
     ) -> None:
         """Creates a scaler without planners.
 
         Args:
-            held: Receives the orders.
+            duty_office: Receives the orders.
             known: The configuration and the runners.
             chooser: Measures how busy runners are.
         """
-        self._office = held
+        self._office = duty_office
         self._known = known
         self._chooser = chooser
         self._planners: dict[ids.ServiceName, planner.Planner] = {}
--- a/pollenfork/gateway/scrape.py
+++ b/pollenfork/gateway/scrape.py
@@ -13,7 +13,7 @@
 
 
 def show(
-    shown: "metrics.Metrics",
+    output: "metrics.Metrics",
     tools: context.Tools,
     known: cluster_state.ClusterState,
     caller_faults: Mapping[str, int],
@@ -21,48 +21,48 @@
     """Exports the counts of all parts, and the state of the settings.
 
     Args:
-        shown: Receives the metrics.
+        output: Receives the metrics.
         tools: The dependencies that exchanges share.
         known: The configuration and the runners.
         caller_faults: The number of malformed requests, by fault.
     """
     for fault, count in caller_faults.items():
-        shown.set_count("pollenfork_caller_faults_total", count, reason=fault)
-    _show_runners(shown, tools, known)
-    _show_settings(shown, known, tools.loop.time())
+        output.set_count("pollenfork_caller_faults_total", count, reason=fault)
+    _show_runners(output, tools, known)
+    _show_settings(output, known, tools.loop.time())
 
 
 def _show_runners(
-    shown: "metrics.Metrics",
+    output: "metrics.Metrics",
     tools: context.Tools,
     known: cluster_state.ClusterState,
 ) -> None:
     for event, count in msgspec.structs.asdict(tools.pool.counters).items():
-        shown.set_count(
+        output.set_count(
             "pollenfork_runner_connections_total", count, event=event
         )
     for outcome, count in msgspec.structs.asdict(tools.permits.counts).items():
-        shown.set_count("pollenfork_permits_total", count, outcome=outcome)
+        output.set_count("pollenfork_permits_total", count, outcome=outcome)
     for why, count in known.refused_entries.items():
-        shown.set_count(
+        output.set_count(
             "pollenfork_entries_refused_total", count, reason=why.value
         )
     for sign, count in tools.evidence.counts.items():
-        shown.set_count(
+        output.set_count(
             "pollenfork_findings_taken_total", count, sign=sign.name.lower()
         )
     counts = tools.suspected.book.counts
-    shown.set_count("pollenfork_runner_ends_total", counts["ends"])
-    shown.set_count("pollenfork_requests_kept_back_total", counts["kept_back"])
-    shown.set_count("pollenfork_runners_kept_total", known.runners.kept)
+    output.set_count("pollenfork_runner_ends_total", counts["ends"])
+    output.set_count("pollenfork_requests_kept_back_total", counts["kept_back"])
+    output.set_count("pollenfork_runners_kept_total", known.runners.kept)
 
 
 def _show_settings(
-    shown: "metrics.Metrics", known: cluster_state.ClusterState, now: float
+    output: "metrics.Metrics", known: cluster_state.ClusterState, now: float
 ) -> None:
     if known.lookup is not None:
         version = known.lookup.configuration.version
-        shown.set_gauge("pollenfork_settings_revision", version)
+        output.set_gauge("pollenfork_settings_revision", version)
     age_s = known.freshness.age(now)
     if age_s is not None:
-        shown.set_gauge("pollenfork_settings_age_seconds", age_s)
+        output.set_gauge("pollenfork_settings_age_seconds", age_s)
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -92,21 +92,21 @@
         followers = (self._configuration, self._runners)
         return [self._loop.create_task(each.run()) for each in followers]
 
-    def choose(self, others: peers.Peers) -> None:
+    def choose(self, peer_exchange: peers.Peers) -> None:
         """Chooses whether to follow the store or a relay.
 
         Args:
-            others: Knows which instances are relays.
+            peer_exchange: Knows which instances are relays.
         """
         now = self._loop.time()
         known = self._known
         for follower in (self._configuration, self._runners):
             unresponsive = follower.take_unresponsive()
             if unresponsive is not None:
-                others.pass_over(unresponsive)
+                peer_exchange.pass_over(unresponsive)
                 known.pass_over(unresponsive)
-        poller = others.find_store_poller(now)
-        self._update_sources(others, now)
+        poller = peer_exchange.find_store_poller(now)
+        self._update_sources(peer_exchange, now)
         proven = poller is not None and known.is_proven_by_others(now)
         self._configuration.set_wait(
             _PROVEN_WAIT_S if proven else _CONFIGURATION_WAIT_S
@@ -116,22 +116,22 @@
         if known.runners_versions.is_behind(now):
             self._runners.ask_store_now()
 
-    def _update_sources(self, others: peers.Peers, now: float) -> None:
+    def _update_sources(self, peer_exchange: peers.Peers, now: float) -> None:
         """Sets where both followers fetch their tables from."""
         known = self._known
-        relay = others.find_relay(now)
+        relay = peer_exchange.find_relay(now)
         age_s = known.freshness.age(now) or 0.0
         relays = relay is None
         followed = relay if known.follows_relay(now) else None
         configuration = _choose_source(
-            known.configuration_versions, followed, others, now
+            known.configuration_versions, followed, peer_exchange, now
         )
         overdue = configuration.relay is None and age_s > _OVERDUE_S
         self._configuration.set_source(
             msgspec.structs.replace(configuration, at_once=overdue)
         )
         self._runners.set_source(
-            _choose_source(known.runners_versions, followed, others, now)
+            _choose_source(known.runners_versions, followed, peer_exchange, now)
         )
         self._runners.set_wait(
             _RELAY_RUNNERS_WAIT_S if relays else _RUNNERS_WAIT_S
@@ -169,7 +169,7 @@
         )
         # The runners' call may be waiting on a connection that has broken
         # unnoticed; the configuration's calls are short enough to detect it.
-        configuration.when_troubled(lambda lost: runners.ask_store_now())
+        configuration.when_outage_changed(lambda lost: runners.ask_store_now())
         # One follower is enough to find out that the store is back.
         runners.defer_to(configuration)
 
@@ -177,7 +177,7 @@
 def _choose_source(
     table: version_tracker.VersionTracker,
     relay: settings.Address | None,
-    others: peers.Peers,
+    peer_exchange: peers.Peers,
     now: float,
 ) -> following.SourceChoice:
     """Returns where to fetch a table from.
@@ -185,11 +185,11 @@
     Args:
         table: The versions of the table, here and at peers.
         relay: The relay to rely on, if any.
-        others: Knows the addresses of instances.
+        peer_exchange: Knows the addresses of instances.
         now: Monotonic seconds.
     """
     newer = table.is_newer_elsewhere
-    sender = others.locate(table.sender)
+    sender = peer_exchange.locate(table.sender)
     if relay is None:
         # The store may refuse this instance but not the one that announced the
         # newer version. That one is asked, regardless of the age of its proof,
--- a/pollenfork/gateway/tests/test_duty_agent.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -121,7 +121,7 @@
     def list_candidates(self) -> list[str]:
         return self.site.list_candidates(self)
 
-    def tell(self, host, message) -> None:
+    def send(self, host, message) -> None:
         self.site.deliver(self.host, host, message)
 
     async def _call_store(self, request, timeout_s):
--- a/pollenfork/platform/tests/simulation/site.py
+++ b/pollenfork/platform/tests/simulation/site.py
@@ -158,7 +158,7 @@
         _, joined = await loop.create_datagram_endpoint(
             lambda: peers.Peers(here, told, me), local_addr=me
         )
-        self.suspected.when_urgent(joined.tell_suspicions)
+        self.suspected.when_urgent(joined.send_suspicions)
         joined.when_ticked(lambda: followed.choose(joined))
         server = tables.make_server(followed.tables)
         await loop.create_server(server.make_connection, *me)
