--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -127,7 +127,7 @@
                 make_cloud(config.duties),
                 rng,
             )
-        self._keeper = quarantine_store.QuarantineStore(
+        self._quarantine_store = quarantine_store.QuarantineStore(
             config.store, store, suspected, time.time
         )
         self._tools = context.Tools(
@@ -147,7 +147,7 @@
                 if self._duty_agent
                 else _count_nothing
             ),
-            claim_trial=self._keeper.claim_trial,
+            claim_trial=self._quarantine_store.claim_trial,
             pool=connections,
             prober=probing.Prober(connections, self.known.runners, rng),
             repeats=repeats.RepeatBudget(
@@ -177,16 +177,20 @@
             and config.duties
             and config.duties.scales
         ):
-            orders = scaler.Scaler(self._duty_agent.office, self.known, chooser)
-            self._duty_agent.when_held(orders.check)
-            self._duty_agent.when_answered(orders.record_reply)
+            service_scaler = scaler.Scaler(
+                self._duty_agent.office, self.known, chooser
+            )
+            self._duty_agent.when_held(service_scaler.check)
+            self._duty_agent.when_answered(service_scaler.record_reply)
         self._peers: peers.Peers | None = None
         self.counters.when_scraped(self._show_state)
         if self._duty_agent is not None:
             self.counters.when_scraped(self._duty_agent.show)
-        taken = intake.Intake(self._tools, self.known, self._readiness)
-        self._front = callers.Server(self._loop, taken.serve)
-        self._probes = callers.Server(self._loop, taken.serve_probe)
+        request_handler = intake.Intake(
+            self._tools, self.known, self._readiness
+        )
+        self._front = callers.Server(self._loop, request_handler.serve)
+        self._probes = callers.Server(self._loop, request_handler.serve_probe)
 
     async def run(self) -> None:
         """Serves until `stop` is called, then drains and closes."""
@@ -215,7 +219,7 @@
             await self._listen(self._probes, self._settings.metrics)
         self._sources.when_configured(self._apply_limits)
         self._tasks += self._sources.start()
-        self._tasks.append(self._loop.create_task(self._keeper.run()))
+        self._tasks.append(self._loop.create_task(self._quarantine_store.run()))
         self._tasks.append(self._loop.create_task(self._sweep()))
         self._tasks.append(self._loop.create_task(self._clean_up()))
         if self._duty_agent is not None:
