--- a/pollenfork/catalogue/__init__.py
+++ b/pollenfork/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""Following the tables of the platform's store."""
+"""Follows the tables of the platform's store."""
--- a/pollenfork/catalogue/changes.py
+++ b/pollenfork/catalogue/changes.py
@@ -1,4 +1,4 @@
-"""Rows that instances write themselves, and what came of it."""
+"""Changes that instances make to the store's tables, and why they fail."""
 
 import enum
 
@@ -16,7 +16,7 @@
 
 
 class Key(msgspec.Struct, frozen=True):
-    """Names a row."""
+    """Identifies a row."""
 
     table: Table
     key: str
@@ -29,7 +29,7 @@
         table: Its table.
         key: Its key.
         value: Its bytes.
-        expected: The version that it must have; None: any.
+        expected: The version that the row must have; None: any.
     """
 
     table: Table
@@ -39,15 +39,15 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """Rows to write and to remove, all or none of them."""
+    """Rows to write and to remove in one transaction."""
 
     written: tuple[Put, ...] = ()
     removed: tuple[Key, ...] = ()
 
 
-class Trouble(enum.Enum):
-    """Why a change wasn't made."""
+class WriteFailure(enum.Enum):
+    """Why a change failed."""
 
-    CONFLICT = "conflict"  # A row isn't at the version that it must have.
-    REFUSED = "refused"  # Nothing was done.
-    NO_ANSWER = "no_answer"  # It may have been made, or will be.
+    CONFLICT = "conflict"  # A row doesn't have the expected version.
+    REFUSED = "refused"  # Nothing was changed.
+    NO_ANSWER = "no_answer"  # The change may have been made, or still be made.
--- a/pollenfork/catalogue/messages.py
+++ b/pollenfork/catalogue/messages.py
@@ -1,4 +1,4 @@
-"""Rows of the store, the calls that read them, and what came of a call."""
+"""Rows of the store, the calls that read them, and their results."""
 
 import enum
 
@@ -6,14 +6,14 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as it stood at a version of the store.
+    """One row as of a version of the store.
 
     Attributes:
         key: Its key.
-        value: Its bytes; empty where it was removed.
+        value: Its bytes; empty if it was removed.
         version: The store's version that wrote or removed it.
-        removed: Whether it is no longer there.
-        missing: Whether that is known only from a read without it.
+        removed: Whether it no longer exists.
+        missing: Whether the removal is known only from a read that lacks it.
     """
 
     key: str
@@ -24,30 +24,30 @@
 
 
 class Rows(msgspec.Struct, frozen=True):
-    """An answer to a reading call.
+    """The answer to a read call.
 
     Attributes:
         rows: The rows of the range, or those that changed, in order.
-        version: The store's newest version at the answer.
-        more: Whether the range goes on past these rows.
-        news: The store's version of the table's last change, where another
-            instance told it.
+        version: The store's newest version at the time of the answer.
+        more: Whether the range continues after these rows.
+        last_change: The store's version of the table's last change, if
+            another instance sent it.
     """
 
     rows: tuple[Row, ...]
     version: int
     more: bool = False
-    news: int = 0
+    last_change: int = 0
 
 
-class Ask(msgspec.Struct, frozen=True, kw_only=True):
-    """A reading call to make now.
+class ReadCall(msgspec.Struct, frozen=True, kw_only=True):
+    """A read call to make now.
 
     Attributes:
         after: Wait for changes after this version; None reads the table.
         start: The first key to read, where the table is read.
         wait_s: How long the store may wait for a change, in seconds.
-        timeout_s: When to give the call up, in seconds.
+        timeout_s: When to abort the call, in seconds.
     """
 
     after: int | None
@@ -56,52 +56,53 @@
     timeout_s: float
 
 
-class Trouble(enum.Enum):
-    """Why a call brought no rows."""
+class ReadFailure(enum.Enum):
+    """Why a call returned no rows."""
 
-    REFUSED = "refused"  # The store turned it away.
-    HISTORY_GONE = "history_gone"  # The changes asked for are forgotten.
-    NO_ANSWER = "no_answer"  # Closed, unreachable or too late.
+    REFUSED = "refused"  # The store rejected it.
+    HISTORY_GONE = "history_gone"  # The store no longer has these changes.
+    NO_ANSWER = "no_answer"  # Closed, unreachable or timed out.
     UNREADABLE = "unreadable"  # The answer can't be decoded.
-    STALE = "stale"  # It is from before what is known already.
+    STALE = "stale"  # The answer is older than what is already known.
 
     @property
     def is_failure(self) -> bool:
-        """Whether the store didn't do what it was asked."""
-        return self in (Trouble.REFUSED, Trouble.NO_ANSWER)
+        """Whether the store didn't answer the call."""
+        return self in (ReadFailure.REFUSED, ReadFailure.NO_ANSWER)
 
 
-class Way(enum.Enum):
-    """From whom changes came."""
+class ChangeSource(enum.Enum):
+    """Where changes were received from."""
 
     STORE = "store"
     PEER = "peer"  # Another instance, which had them from the store.
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a table's rows have become.
+    """Changes to a table's rows.
 
     Attributes:
-        rows: Rows that changed, each newer than what was known of its key.
-        through: The store's version up to which nothing is unknown.
-        way: From whom they came.
-        known_news: The store's version of the last change, where these rows
-            don't show it: rows may have been removed that were never known.
+        rows: Changed rows, each newer than the known version of its key.
+        through: The store's version up to which all changes are known.
+        source: Where they were received from.
+        known_last_change: The store's version of the last change, if these
+            rows don't show it: rows may have been removed that were never
+            known here.
     """
 
     rows: tuple[Row, ...]
     through: int
-    way: Way = Way.STORE
-    known_news: int = 0
+    source: ChangeSource = ChangeSource.STORE
+    known_last_change: int = 0
 
     @property
-    def news(self) -> int:
-        """The store's version of the newest change; 0 where there is none.
+    def last_change(self) -> int:
+        """The store's version of the newest change; 0 if there is none.
 
-        A row that a whole read found missing was removed nobody knows when,
-        but not after the read.
+        When a row was removed that a full read lacks is unknown, but it wasn't
+        after the read.
         """
         versions = [
             self.through if row.missing else row.version for row in self.rows
         ]
-        return max(self.known_news, *versions, 0)
+        return max(self.known_last_change, *versions, 0)
--- a/pollenfork/duties/office.py
+++ b/pollenfork/duties/office.py
@@ -121,7 +121,7 @@
 
     def take_rows(
         self,
-        answer: result.Result[catalogue.Rows, catalogue.Trouble],
+        answer: result.Result[catalogue.Rows, catalogue.ReadFailure],
         now: float,
     ) -> None:
         """Takes in the table; `now` is after the answer came."""
@@ -150,14 +150,14 @@
         self.agenda.adopt(row.ok_value, known.values())
 
     def take_commit(
-        self, answer: result.Result[int, changes.Trouble], now: float
+        self, answer: result.Result[int, changes.WriteFailure], now: float
     ) -> None:
         """Takes in what became of a write: its version, or why not."""
         step, self._busy = self._busy, None
         assert isinstance(step, messages.Write)
         if isinstance(answer, result.Ok):
             self._note_written(step, answer.ok_value, now)
-        elif answer.err_value is changes.Trouble.REFUSED:
+        elif answer.err_value is changes.WriteFailure.REFUSED:
             self._back_off(now)
         else:
             self._failures += 1
--- a/pollenfork/duties/tests/world.py
+++ b/pollenfork/duties/tests/world.py
@@ -44,10 +44,10 @@
 
     def write(
         self, change: messages.Write
-    ) -> result.Result[int, changes.Trouble]:
+    ) -> result.Result[int, changes.WriteFailure]:
         known = self.rows.get(rows.HOLDER_KEY)
         if (known.version if known else 0) != change.version:
-            return result.Err(changes.Trouble.CONFLICT)
+            return result.Err(changes.WriteFailure.CONFLICT)
         self.version += 1
         self._put(rows.HOLDER_KEY, rows.encode(change.row))
         for each in change.reports:
@@ -231,9 +231,9 @@
                 way_s += self.rng.uniform(1.0, 6.0)
             self.call_in(way_s, arrive)
         trouble = (
-            catalogue.Trouble
+            catalogue.ReadFailure
             if isinstance(step, messages.Read)
-            else changes.Trouble
+            else changes.WriteFailure
         )
         no_answer = result.Err(trouble.NO_ANSWER)
         self.call_in(_STORE_CALL_S, lambda: tell(no_answer))
--- a/pollenfork/gateway/duty_rows.py
+++ b/pollenfork/gateway/duty_rows.py
@@ -31,7 +31,9 @@
         self._client = client.Client(address)
         self._store = store
 
-    async def read(self) -> result.Result[catalogue.Rows, catalogue.Trouble]:
+    async def read(
+        self,
+    ) -> result.Result[catalogue.Rows, catalogue.ReadFailure]:
         """Returns all rows; they may take several answers."""
         found: tuple[catalogue.Row, ...] = ()
         start = ""
@@ -39,7 +41,7 @@
             ask = self._store.write_range_ask(changes.Table.DUTIES, start)
             answer = await self._client.call(ask, _CALL_S)
             if answer is None:
-                return result.Err(catalogue.Trouble.NO_ANSWER)
+                return result.Err(catalogue.ReadFailure.NO_ANSWER)
             read = self._store.read_rows(*answer)
             if isinstance(read, result.Err):
                 return read
@@ -51,12 +53,12 @@
 
     async def write(
         self, step: messages.Write
-    ) -> result.Result[int, changes.Trouble]:
+    ) -> result.Result[int, changes.WriteFailure]:
         """Returns the version of what was written, or why it wasn't."""
         change = self._store.write_change(_make_change(step))
         answer = await self._client.call(change, _CALL_S)
-        written: result.Result[int, changes.Trouble]
-        written = result.Err(changes.Trouble.NO_ANSWER)
+        written: result.Result[int, changes.WriteFailure]
+        written = result.Err(changes.WriteFailure.NO_ANSWER)
         if answer is not None:
             written = self._store.read_changed(*answer)
         if isinstance(written, result.Err):
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -68,10 +68,10 @@
 class Store(Protocol):
     """Decodes and encodes the store's calls."""
 
-    def write_configuration_ask(self, ask: catalogue.Ask) -> bytes:
+    def write_configuration_ask(self, ask: catalogue.ReadCall) -> bytes:
         """Returns the request that follows the configuration."""
 
-    def write_runners_ask(self, ask: catalogue.Ask) -> bytes:
+    def write_runners_ask(self, ask: catalogue.ReadCall) -> bytes:
         """Returns the request that follows the registry."""
 
     def write_range_ask(self, table: changes.Table, start: str) -> bytes:
@@ -82,12 +82,12 @@
 
     def read_changed(
         self, status: int, body: bytes
-    ) -> result.Result[int, changes.Trouble]:
+    ) -> result.Result[int, changes.WriteFailure]:
         """Decodes the answer to that: the version of the rows written."""
 
     def read_rows(
         self, status: int, body: bytes
-    ) -> result.Result[catalogue.Rows, catalogue.Trouble]:
+    ) -> result.Result[catalogue.Rows, catalogue.ReadFailure]:
         """Decodes the answer to any that reads."""
 
     def read_configuration(
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -14,7 +14,7 @@
 import result
 
 from pollenfork.catalogue import messages as catalogue
-from pollenfork.catalogue import shelf
+from pollenfork.catalogue import table_copy
 from pollenfork.catalogue import watch
 from pollenfork.gateway import client
 from pollenfork.gateway import settings
@@ -35,9 +35,9 @@
 _RELAYS_KEPT = 3
 _OK = 200
 
-Write = Callable[[catalogue.Ask], bytes]
+Write = Callable[[catalogue.ReadCall], bytes]
 ReadRows = Callable[
-    [int, bytes], result.Result[catalogue.Rows, catalogue.Trouble]
+    [int, bytes], result.Result[catalogue.Rows, catalogue.ReadFailure]
 ]
 
 
@@ -127,13 +127,13 @@
         if guide == self._guide:
             return
         if guide.at_once and not self._guide.at_once:
-            self._watch.ask_at_once()
+            self._watch.skip_wait()
         self._guide = guide
         self._woken.set()
         if guide.news and self._lacking_since is None:
             self._lacking_since = self._loop.time()
-        if guide.relay is not None and self._watch.troubled:
-            self._watch.forget_trouble()
+        if guide.relay is not None and self._watch.failing:
+            self._watch.reset_failures()
             _LOG.info(
                 "event=store_bypassed table=%s relay=%s",
                 self._table.value,
@@ -152,7 +152,7 @@
     @property
     def troubled(self) -> bool:
         """Whether the last call brought nothing."""
-        return self._watch.troubled
+        return self._watch.failing
 
     def wait_for(self, other: "Follower") -> None:
         """Makes no calls while another follower's bring nothing."""
@@ -205,7 +205,7 @@
             self._store.break_off()
         elif self._guide.relay is not None:
             self._hurried = True
-            self._watch.ask_at_once()
+            self._watch.skip_wait()
             self._woken.set()
 
     async def _follow_relay(self, relay: settings.Address) -> bool:
@@ -274,7 +274,7 @@
         """Asks the store for what is there now, unless it is being asked."""
         if self._beside is not None:
             return
-        self._watch.ask_at_once()
+        self._watch.skip_wait()
         self._beside = self._loop.create_task(self._call_once(breakable=False))
         self._beside.add_done_callback(self._on_asked_beside)
 
@@ -308,7 +308,7 @@
         if answer is None or answer[0] != _OK:
             self._log_silent(relay, answer[0] if answer else None)
             return None
-        read = shelf.read(answer[1])
+        read = table_copy.decode(answer[1])
         if isinstance(read, result.Err):
             _LOG.error(
                 "event=table_unreadable table=%s relay=%s detail=%r",
@@ -325,7 +325,7 @@
         Args:
             breakable: Whether the call is given up when a relay has news.
         """
-        ask = self._watch.next_ask()
+        ask = self._watch.next_call()
         sent_at = self._loop.time()
         self._waiting = ask.wait_s > 0.0
         self._calling = breakable
@@ -334,7 +334,7 @@
         hurried, self._hurried = self._hurried, False
         if isinstance(answer, result.Err):
             if hurried and ask.wait_s > 0.0:
-                self._watch.ask_at_once()
+                self._watch.skip_wait()
                 self._hurried = self._guide.relay is not None
                 return 0.0
             if self._guide.relay is not None and self._guide.news:
@@ -342,7 +342,7 @@
             return self._take_trouble(answer.err_value, sent_at)
         rows = answer.ok_value
         if self._watch.is_stale(rows):
-            return self._take_trouble(catalogue.Trouble.STALE, sent_at)
+            return self._take_trouble(catalogue.ReadFailure.STALE, sent_at)
         for note in self._on_answer:
             note(self._loop.time())
         self._note_back()
@@ -358,7 +358,7 @@
         return self._rest_s if changes.rows else 0.0
 
     def _find_moment(
-        self, ask: catalogue.Ask, rows: catalogue.Rows, sent_at: float
+        self, ask: catalogue.ReadCall, rows: catalogue.Rows, sent_at: float
     ) -> float:
         """Returns up to when the answer proves that all is known.
 
@@ -371,15 +371,15 @@
         return sent_at
 
     async def _call(
-        self, ask: catalogue.Ask
-    ) -> result.Result[catalogue.Rows, catalogue.Trouble]:
+        self, ask: catalogue.ReadCall
+    ) -> result.Result[catalogue.Rows, catalogue.ReadFailure]:
         answer = await self._store.call(self._write(ask), ask.timeout_s)
         if answer is None:
-            return result.Err(catalogue.Trouble.NO_ANSWER)
+            return result.Err(catalogue.ReadFailure.NO_ANSWER)
         return self._read(*answer)
 
     def _take_trouble(
-        self, trouble: catalogue.Trouble, sent_at: float
+        self, trouble: catalogue.ReadFailure, sent_at: float
     ) -> float:
         if trouble.is_failure:
             for note in self._on_failure:
@@ -387,9 +387,9 @@
         else:
             for note in self._on_answer:
                 note(self._loop.time())
-        was_troubled = self._watch.troubled
-        pause_s = self._watch.take_trouble(trouble)
-        if self._watch.troubled and not was_troubled:
+        was_troubled = self._watch.failing
+        pause_s = self._watch.record_failure(trouble)
+        if self._watch.failing and not was_troubled:
             _LOG.warning(
                 "event=store_lost table=%s trouble=%s",
                 self._table.value,
@@ -397,12 +397,12 @@
             )
             for tell in self._on_trouble:
                 tell(True)
-        elif trouble is catalogue.Trouble.HISTORY_GONE:
+        elif trouble is catalogue.ReadFailure.HISTORY_GONE:
             _LOG.info("event=history_gone table=%s", self._table.value)
         return pause_s
 
     def _note_back(self) -> None:
-        if not self._watch.troubled:
+        if not self._watch.failing:
             return
         _LOG.info("event=store_back table=%s", self._table.value)
         for tell in self._on_trouble:
--- a/pollenfork/gateway/knowledge.py
+++ b/pollenfork/gateway/knowledge.py
@@ -67,11 +67,11 @@
 
     def note_failure(self, sent_at: float) -> None:
         """Takes a call that the store didn't answer, sent at that moment."""
-        self._outages.note_failure(sent_at)
+        self._outages.record_failure(sent_at)
 
     def note_answer(self, moment: float) -> None:
         """Takes a moment at which the store answered this or another one."""
-        until = self._outages.note_answer(moment)
+        until = self._outages.record_answer(moment)
         if until is None:
             return
         self.runners.keep_until(until)
@@ -161,7 +161,7 @@
                 row.version,
                 len(configuration.routes),
                 _describe_tiers(configuration),
-                changes.way.value,
+                changes.source.value,
             )
 
     def take_runners(self, changes: catalogue.Changes, now: float) -> None:
@@ -170,7 +170,7 @@
         self.runners_news.take(changes)
         for row in changes.rows:
             if row.removed:
-                self._remove_runner(row, changes.way, now)
+                self._remove_runner(row, changes.source, now)
                 continue
             read = self._store.read_runner(row)
             if isinstance(read, result.Err):
@@ -193,7 +193,7 @@
                 read.ok_value.leaving,
                 row.version,
                 arrival is registry.Arrival.RESTARTED,
-                changes.way.value,
+                changes.source.value,
             )
 
     def expire_runners(self, now: float) -> None:
@@ -202,7 +202,7 @@
             _LOG.info("event=runner_gone runner=%s row=- kept=True", runner)
 
     def _remove_runner(
-        self, row: catalogue.Row, way: catalogue.Way, now: float
+        self, row: catalogue.Row, way: catalogue.ChangeSource, now: float
     ) -> None:
         runner = ids.EndpointId(row.key)
         removal = self.runners.remove(runner, now)
--- a/pollenfork/gateway/news.py
+++ b/pollenfork/gateway/news.py
@@ -63,7 +63,7 @@
     def take(self, changes: messages.Changes) -> None:
         """Takes what has become known here."""
         self.through = changes.through
-        self.last_change = max(self.last_change, changes.news)
+        self.last_change = max(self.last_change, changes.last_change)
 
     def take_word(self, version: int, teller: str) -> None:
         """Takes what another instance knows."""
--- a/pollenfork/gateway/tables.py
+++ b/pollenfork/gateway/tables.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from pollenfork.catalogue import messages as catalogue
-from pollenfork.catalogue import shelf
+from pollenfork.catalogue import table_copy
 from pollenfork.gateway import callers
 from pollenfork.gateway import messages
 from pollenfork.gateway import replies
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self._page: Page | None = None
-        self._shelves = {table: shelf.Shelf() for table in Table}
+        self._shelves = {table: table_copy.TableCopy() for table in Table}
 
     def show(self, page: Page) -> None:
         """Serves an operator's page beside the tables."""
@@ -51,7 +51,7 @@
 
     def take(self, table: Table, changes: catalogue.Changes) -> None:
         """Takes what changed in a table."""
-        self._shelves[table].take(changes)
+        self._shelves[table].apply(changes)
 
     async def serve(
         self, call: messages.Call, caller: callers.CallerConnection
@@ -66,7 +66,7 @@
             caller.write(replies.write_fault(404, "no_table"))
             caller.close_after_answer()
             return
-        body = self._shelves[table].write()
+        body = self._shelves[table].encode()
         caller.write(replies.write_table(body))
 
 
--- a/pollenfork/gateway/tests/test_following.py
+++ b/pollenfork/gateway/tests/test_following.py
@@ -26,7 +26,7 @@
     """A store of one table; calls that wait for news are held for good."""
 
     def __init__(self) -> None:
-        self.asked: list[messages.Ask] = []
+        self.asked: list[messages.ReadCall] = []
         self.rows = messages.Rows((Row("a", b"1", 1),), 1)
         self.silent = False
 
@@ -34,7 +34,7 @@
         server = await asyncio.start_server(self._serve, _HOST, 0)
         return loads.Address(*server.sockets[0].getsockname()[:2])
 
-    def write(self, ask: messages.Ask) -> bytes:
+    def write(self, ask: messages.ReadCall) -> bytes:
         self.asked.append(ask)
         waits = int(ask.wait_s > 0.0)
         return b"GET /%d/%d HTTP/1.1\r\n\r\n" % (waits, ask.after or 0)
--- a/pollenfork/gateway/tests/test_officer.py
+++ b/pollenfork/gateway/tests/test_officer.py
@@ -168,7 +168,7 @@
         holder, *reports = change.written
         known = self.rows.rows.get(holder.key)
         if (known.version if known else 0) != holder.expected:
-            return result.Err(worlds.changes.Trouble.CONFLICT)
+            return result.Err(worlds.changes.WriteFailure.CONFLICT)
         self.rows.version += 1
         for put in (holder, *reports):
             self.rows._put(put.key, put.value)
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -65,7 +65,7 @@
     def read(self, status: int, body: bytes):
         if self.turns_away:
             self.refused += 1
-            return result.Err(messages.Trouble.REFUSED)
+            return result.Err(messages.ReadFailure.REFUSED)
         return super().read(status, body)
 
 
--- a/pollenfork/platform/rows.py
+++ b/pollenfork/platform/rows.py
@@ -56,7 +56,7 @@
 _DECODER = msgspec.json.Decoder(_Answer)
 
 
-def write_ask(table: str, ask: messages.Ask) -> str:
+def write_ask(table: str, ask: messages.ReadCall) -> str:
     """Returns the path, with its query, of a reading call."""
     if ask.after is None:
         return write_range(table, ask.start)
--- a/pollenfork/platform/store.py
+++ b/pollenfork/platform/store.py
@@ -28,11 +28,11 @@
 
     host: str
 
-    def write_configuration_ask(self, ask: messages.Ask) -> bytes:
+    def write_configuration_ask(self, ask: messages.ReadCall) -> bytes:
         """Returns the request that follows the configuration."""
         return self._write(rows.write_ask(rows.CONFIGURATION, ask))
 
-    def write_runners_ask(self, ask: messages.Ask) -> bytes:
+    def write_runners_ask(self, ask: messages.ReadCall) -> bytes:
         """Returns the request that follows the registry."""
         return self._write(rows.write_ask(rows.RUNNERS, ask))
 
@@ -52,24 +52,28 @@
 
     def read_changed(
         self, status: int, body: bytes
-    ) -> result.Result[int, changes.Trouble]:
+    ) -> result.Result[int, changes.WriteFailure]:
         """Decodes the answer to that: the version of the rows written."""
         if status == _CONFLICT:
-            return result.Err(changes.Trouble.CONFLICT)
+            return result.Err(changes.WriteFailure.CONFLICT)
         if status != _OK:
-            return result.Err(changes.Trouble.REFUSED)
-        read = rows.read(body).map_err(lambda bad: changes.Trouble.NO_ANSWER)
+            return result.Err(changes.WriteFailure.REFUSED)
+        read = rows.read(body).map_err(
+            lambda bad: changes.WriteFailure.NO_ANSWER
+        )
         return read.map(lambda answer: answer.version)
 
     def read_rows(
         self, status: int, body: bytes
-    ) -> result.Result[messages.Rows, messages.Trouble]:
+    ) -> result.Result[messages.Rows, messages.ReadFailure]:
         """Decodes the answer to any that reads."""
         if status == _HISTORY_GONE:
-            return result.Err(messages.Trouble.HISTORY_GONE)
+            return result.Err(messages.ReadFailure.HISTORY_GONE)
         if status != _OK:
-            return result.Err(messages.Trouble.REFUSED)
-        return rows.read(body).map_err(lambda bad: messages.Trouble.UNREADABLE)
+            return result.Err(messages.ReadFailure.REFUSED)
+        return rows.read(body).map_err(
+            lambda bad: messages.ReadFailure.UNREADABLE
+        )
 
     def read_configuration(
         self, row: messages.Row
--- a/pollenfork/platform/tests/test_documents.py
+++ b/pollenfork/platform/tests/test_documents.py
@@ -124,24 +124,24 @@
 
 def test_asks_are_written_as_whole_requests() -> None:
     platform = store.Store("10.0.0.1:80")
-    ask = messages.Ask(after=530, wait_s=1.5, timeout_s=2.0)
+    ask = messages.ReadCall(after=530, wait_s=1.5, timeout_s=2.0)
     assert platform.write_configuration_ask(ask) == (
         b"GET /api/rows-feed?table=op&after-revision=530&wait-ms=1500 HTTP/1.1"
         b"\r\nhost: 10.0.0.1:80\r\n\r\n"
     )
-    ask = messages.Ask(after=None, start="a\0", timeout_s=2.0)
+    ask = messages.ReadCall(after=None, start="a\0", timeout_s=2.0)
     assert b"table=servers&part=&from=a%00 " in platform.write_runners_ask(ask)
 
 
 def test_statuses_tell_forgotten_history_from_refusal() -> None:
     platform = store.Store("h")
     gone = platform.read_rows(410, b"").unwrap_err()
-    assert gone is messages.Trouble.HISTORY_GONE
+    assert gone is messages.ReadFailure.HISTORY_GONE
     assert platform.read_rows(503, b"").unwrap_err() is (
-        messages.Trouble.REFUSED
+        messages.ReadFailure.REFUSED
     )
     assert platform.read_rows(200, b"?").unwrap_err() is (
-        messages.Trouble.UNREADABLE
+        messages.ReadFailure.UNREADABLE
     )
 
 
