--- a/pollenfork/ratelimits/tests/simulation.py
+++ b/pollenfork/ratelimits/tests/simulation.py
@@ -91,7 +91,7 @@
         self.instances: dict[str, Instance] = {}
         self._ended_at: dict[str, float] = {}
         self._partitioned: set[frozenset[str]] = set()
-        self._cut_since: dict[frozenset[str], float] = {}
+        self._partitioned_since: dict[frozenset[str], float] = {}
         self._queue: list = []
         self._order = itertools.count()
         self._known_cache: dict[str, tuple[float, list[str]]] = {}
@@ -124,12 +124,12 @@
     def pause(self, host: str, seconds: float) -> None:
         self.instances[host].paused_until = self.now + seconds
 
-    def cut(self, here: list[str], there: list[str]) -> None:
+    def partition(self, here: list[str], there: list[str]) -> None:
         for one in here:
             for other in there:
                 pair = frozenset({one, other})
                 self._partitioned.add(pair)
-                self._cut_since[pair] = self.now
+                self._partitioned_since[pair] = self.now
 
     def heal(self) -> None:
         self._partitioned.clear()
@@ -176,7 +176,7 @@
             return self.now - ended_at < _EXPIRY_S
         pair = frozenset({me.host, other.host})
         if pair in self._partitioned:
-            return self.now - self._cut_since[pair] < _EXPIRY_S
+            return self.now - self._partitioned_since[pair] < _EXPIRY_S
         first = self.now < _MAX_JOIN_DELAY_S * 2
         if first:
             return True
--- a/pollenfork/ratelimits/tests/test_sums.py
+++ b/pollenfork/ratelimits/tests/test_sums.py
@@ -195,7 +195,7 @@
     sim.load(30.0, 14.0)
     sim.run(4.0)
     split = 1 + seed % (len(hosts) - 1)
-    sim.cut(hosts[:split], hosts[split:])
+    sim.partition(hosts[:split], hosts[split:])
     sim.run(10.0)
     return sim
 
@@ -214,7 +214,7 @@
     sim.rate = 5.0
     sim.load(30.0, 14.0)
     sim.run(4.0)
-    sim.cut(here, there)
+    sim.partition(here, there)
     sim.run(10.0)
     assert sim.find_most(1.0) <= allow(5.0)
     assert sim.count(5.0, 14.0) >= 0.9 * 5.0 * 9.0
