--- a/pollenfork/duties/duty_lease.py
+++ b/pollenfork/duties/duty_lease.py
@@ -128,7 +128,7 @@
 
     def handle_rows(
         self,
-        answer: result.Result[catalogue.Rows, catalogue.Trouble],
+        answer: result.Result[catalogue.Rows, catalogue.ReadFailure],
         now: float,
     ) -> None:
         """Handles the result of a read; `now` is after the reply arrived."""
@@ -157,14 +157,14 @@
         self.work_queue.load(row.ok_value, found.values())
 
     def handle_commit(
-        self, answer: result.Result[int, changes.Trouble], now: float
+        self, answer: result.Result[int, changes.WriteFailure], now: float
     ) -> None:
         """Handles the result of a write: the version, or why it failed."""
         call, self._in_progress = self._in_progress, None
         assert isinstance(call, messages.Write)
         if isinstance(answer, result.Ok):
             self._record_written(call, answer.ok_value, now)
-        elif answer.err_value is changes.Trouble.REFUSED:
+        elif answer.err_value is changes.WriteFailure.REFUSED:
             self._back_off(now)
         else:
             self._failures += 1
--- a/pollenfork/duties/tests/simulation.py
+++ b/pollenfork/duties/tests/simulation.py
@@ -44,10 +44,10 @@
 
     def write(
         self, change: messages.Write
-    ) -> result.Result[int, changes.Trouble]:
+    ) -> result.Result[int, changes.WriteFailure]:
         known = self.rows.get(rows.HOLDER_KEY)
         if (known.version if known else 0) != change.version:
-            return result.Err(changes.Trouble.CONFLICT)
+            return result.Err(changes.WriteFailure.CONFLICT)
         self.version += 1
         self._put(rows.HOLDER_KEY, rows.encode(change.row))
         for each in change.reports:
@@ -238,9 +238,9 @@
                 latency_s += self.rng.uniform(1.0, 6.0)
             self.call_in(latency_s, arrive)
         failures = (
-            catalogue.Trouble
+            catalogue.ReadFailure
             if isinstance(call, messages.Read)
-            else changes.Trouble
+            else changes.WriteFailure
         )
         no_answer = result.Err(failures.NO_ANSWER)
         self.call_in(_STORE_CALL_S, lambda: finish(no_answer))
--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -71,11 +71,11 @@
 
     def record_store_failure(self, sent_at: float) -> None:
         """Records that the store didn't answer a call sent at that time."""
-        self._outages.note_failure(sent_at)
+        self._outages.record_failure(sent_at)
 
     def record_store_answer(self, moment: float) -> None:
         """Records when the store answered this or another instance."""
-        until = self._outages.note_answer(moment)
+        until = self._outages.record_answer(moment)
         if until is None:
             return
         self.runners.keep_removed_until(until)
@@ -169,7 +169,7 @@
                 row.version,
                 len(configuration.routes),
                 _describe_tiers(configuration),
-                changes.way.value,
+                changes.source.value,
             )
 
     def take_runners(self, changes: catalogue.Changes, now: float) -> None:
@@ -178,7 +178,7 @@
         self.runners_versions.take(changes)
         for row in changes.rows:
             if row.removed:
-                self._remove_runner(row, changes.way, now)
+                self._remove_runner(row, changes.source, now)
                 continue
             read = self._store.read_runner(row)
             if isinstance(read, result.Err):
@@ -201,7 +201,7 @@
                 read.ok_value.leaving,
                 row.version,
                 arrival is registry.PutResult.RESTARTED,
-                changes.way.value,
+                changes.source.value,
             )
 
     def expire_runners(self, now: float) -> None:
@@ -210,7 +210,7 @@
             _LOG.info("event=runner_gone runner=%s row=- kept=True", runner)
 
     def _remove_runner(
-        self, row: catalogue.Row, way: catalogue.Way, now: float
+        self, row: catalogue.Row, way: catalogue.ChangeSource, now: float
     ) -> None:
         runner = ids.EndpointId(row.key)
         removal = self.runners.remove(runner, now)
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -15,7 +15,7 @@
 import result
 
 from pollenfork.catalogue import messages as catalogue
-from pollenfork.catalogue import shelf
+from pollenfork.catalogue import table_copy
 from pollenfork.catalogue import watch
 from pollenfork.gateway import client
 from pollenfork.gateway import settings
@@ -37,9 +37,9 @@
 _MAX_RELAY_CLIENTS = 3
 _OK = 200
 
-Write = Callable[[catalogue.Ask], bytes]
+Write = Callable[[catalogue.ReadCall], bytes]
 ReadRows = Callable[
-    [int, bytes], result.Result[catalogue.Rows, catalogue.Trouble]
+    [int, bytes], result.Result[catalogue.Rows, catalogue.ReadFailure]
 ]
 
 
@@ -134,13 +134,13 @@
         if source == self._source:
             return
         if source.at_once and not self._source.at_once:
-            self._watch.ask_at_once()
+            self._watch.skip_wait()
         self._source = source
         self._wake_event.set()
         if source.news and self._missing_since is None:
             self._missing_since = self._loop.time()
-        if source.relay is not None and self._watch.troubled:
-            self._watch.forget_trouble()
+        if source.relay is not None and self._watch.failing:
+            self._watch.reset_failures()
             _LOG.info(
                 "event=store_bypassed table=%s relay=%s",
                 self._table.value,
@@ -159,7 +159,7 @@
     @property
     def failing(self) -> bool:
         """Whether the last call to the store failed."""
-        return self._watch.troubled
+        return self._watch.failing
 
     def defer_to(self, other: "Follower") -> None:
         """Suspends calls to the store while another follower's calls fail."""
@@ -215,7 +215,7 @@
             self._store.break_off()
         elif self._source.relay is not None:
             self._store_requested = True
-            self._watch.ask_at_once()
+            self._watch.skip_wait()
             self._wake_event.set()
 
     async def _follow_relay(self, relay: settings.Address) -> bool:
@@ -286,7 +286,7 @@
         """Reads the store's current state in parallel, one call at a time."""
         if self._parallel_call is not None:
             return
-        self._watch.ask_at_once()
+        self._watch.skip_wait()
         self._parallel_call = self._loop.create_task(
             self._call_once(cancellable=False)
         )
@@ -324,7 +324,7 @@
         if answer is None or answer[0] != _OK:
             self._log_no_answer(relay, answer[0] if answer else None)
             return None
-        read = shelf.read(answer[1])
+        read = table_copy.decode(answer[1])
         if isinstance(read, result.Err):
             _LOG.error(
                 "event=table_unreadable table=%s relay=%s detail=%r",
@@ -342,7 +342,7 @@
             cancellable: Whether the call is cancelled when a relay has a newer
                 version.
         """
-        ask = self._watch.next_ask()
+        ask = self._watch.next_call()
         sent_at = self._loop.time()
         self._waiting = ask.wait_s > 0.0
         self._calling = cancellable
@@ -351,7 +351,7 @@
         store_requested, self._store_requested = self._store_requested, False
         if isinstance(answer, result.Err):
             if store_requested and ask.wait_s > 0.0:
-                self._watch.ask_at_once()
+                self._watch.skip_wait()
                 self._store_requested = self._source.relay is not None
                 return 0.0
             if self._source.relay is not None and self._source.news:
@@ -359,7 +359,7 @@
             return self._handle_trouble(answer.err_value, sent_at)
         rows = answer.ok_value
         if self._watch.is_stale(rows):
-            return self._handle_trouble(catalogue.Trouble.STALE, sent_at)
+            return self._handle_trouble(catalogue.ReadFailure.STALE, sent_at)
         for on_answer in self._on_answer:
             on_answer(self._loop.time())
         self._report_recovery()
@@ -375,7 +375,7 @@
         return self._cooldown_s if changes.rows else 0.0
 
     def _find_proven_until(
-        self, ask: catalogue.Ask, rows: catalogue.Rows, sent_at: float
+        self, ask: catalogue.ReadCall, rows: catalogue.Rows, sent_at: float
     ) -> float:
         """Returns the time up to which the answer proves the copy complete.
 
@@ -389,15 +389,15 @@
         return sent_at
 
     async def _call(
-        self, ask: catalogue.Ask
-    ) -> result.Result[catalogue.Rows, catalogue.Trouble]:
+        self, ask: catalogue.ReadCall
+    ) -> result.Result[catalogue.Rows, catalogue.ReadFailure]:
         answer = await self._store.call(self._write(ask), ask.timeout_s)
         if answer is None:
-            return result.Err(catalogue.Trouble.NO_ANSWER)
+            return result.Err(catalogue.ReadFailure.NO_ANSWER)
         return self._read(*answer)
 
     def _handle_trouble(
-        self, trouble: catalogue.Trouble, sent_at: float
+        self, trouble: catalogue.ReadFailure, sent_at: float
     ) -> float:
         if trouble.is_failure:
             for on_failure in self._on_failure:
@@ -405,9 +405,9 @@
         else:
             for on_answer in self._on_answer:
                 on_answer(self._loop.time())
-        was_troubled = self._watch.troubled
-        pause_s = self._watch.take_trouble(trouble)
-        if self._watch.troubled and not was_troubled:
+        was_troubled = self._watch.failing
+        pause_s = self._watch.record_failure(trouble)
+        if self._watch.failing and not was_troubled:
             _LOG.warning(
                 "event=store_lost table=%s trouble=%s",
                 self._table.value,
@@ -415,12 +415,12 @@
             )
             for on_outage in self._on_outage:
                 on_outage(True)
-        elif trouble is catalogue.Trouble.HISTORY_GONE:
+        elif trouble is catalogue.ReadFailure.HISTORY_GONE:
             _LOG.info("event=history_gone table=%s", self._table.value)
         return pause_s
 
     def _report_recovery(self) -> None:
-        if not self._watch.troubled:
+        if not self._watch.failing:
             return
         _LOG.info("event=store_back table=%s", self._table.value)
         for on_outage in self._on_outage:
--- a/pollenfork/gateway/tables.py
+++ b/pollenfork/gateway/tables.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from pollenfork.catalogue import messages as catalogue
-from pollenfork.catalogue import shelf
+from pollenfork.catalogue import table_copy
 from pollenfork.gateway import callers
 from pollenfork.gateway import messages
 from pollenfork.gateway import replies
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self._page: Page | None = None
-        self._shelves = {table: shelf.Shelf() for table in Table}
+        self._shelves = {table: table_copy.TableCopy() for table in Table}
 
     def add_page(self, page: Page) -> None:
         """Serves a page for operators in addition to the tables."""
@@ -52,7 +52,7 @@
 
     def take(self, table: Table, changes: catalogue.Changes) -> None:
         """Applies changes to the copy of a table."""
-        self._shelves[table].take(changes)
+        self._shelves[table].apply(changes)
 
     async def serve(
         self, call: messages.Call, caller: callers.CallerConnection
@@ -67,7 +67,7 @@
             caller.write(replies.write_fault(404, "no_table"))
             caller.close_after_answer()
             return
-        body = self._shelves[table].write()
+        body = self._shelves[table].encode()
         caller.write(replies.write_table(body))
 
 
--- a/pollenfork/gateway/version_tracker.py
+++ b/pollenfork/gateway/version_tracker.py
@@ -71,7 +71,7 @@
     def take(self, changes: messages.Changes) -> None:
         """Records changes that this instance has received."""
         self.through = changes.through
-        self.last_change = max(self.last_change, changes.news)
+        self.last_change = max(self.last_change, changes.last_change)
 
     def record_announced(self, version: int, sender: str) -> None:
         """Records the version that a peer has announced."""
