--- a/pollenfork/admission/__init__.py
+++ b/pollenfork/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who is served when, and who is refused: classes, queues, shedding."""
+"""Admission of requests: limits, queues, fairness and load shedding."""
--- a/pollenfork/admission/core.py
+++ b/pollenfork/admission/core.py
@@ -1,4 +1,4 @@
-"""Admission: bounded queues, limits, eviction and expiry. No I/O."""
+"""Admission: bounded queues, limits, eviction and expiry, without I/O."""
 
 from collections.abc import Mapping, Sequence
 import heapq
@@ -12,7 +12,7 @@
 
 K = TypeVar("K")
 
-_SLACK = 64
+_HEAP_SLACK = 64
 
 _Reason = messages.RefusalReason
 
@@ -20,10 +20,11 @@
 
 
 class Admission:
-    """Who waits, in which order, and who is given up.
+    """The queues of waiting requests and the limits on them.
 
     Attributes:
-        depths: Requests waiting, by pool and tier; others only read it.
+        depths: Numbers of waiting requests by pool and tier; read-only for
+            others.
     """
 
     def __init__(self, waiting_limit: int) -> None:
@@ -35,49 +36,51 @@
         self._tiers: dict[
             tuple[messages.PoolKey, ids.Tier], queues.TierQueue
         ] = {}
-        self._evictable = _Evictable()
-        self._expiry: list[tuple[float, int, queues.QueuedRequest]] = []
+        self._eviction_order = _EvictionOrder()
+        self._expirations: list[tuple[float, int, queues.QueuedRequest]] = []
         self._open: dict[ids.RequestId, messages.Ask] = {}
-        self._by_account: dict[tuple[ids.Team, ids.AccountId], int] = {}
-        self._by_team: dict[ids.Team, int] = {}
-        self._by_class: dict[messages.ClassKey, int] = {}
+        self._open_by_account: dict[tuple[ids.Team, ids.AccountId], int] = {}
+        self._open_by_team: dict[ids.Team, int] = {}
+        self._waiting_by_class: dict[messages.ClassKey, int] = {}
 
     @property
     def size(self) -> int:
-        """Requests waiting."""
+        """The number of waiting requests."""
         return self._size
 
     def find_refusal(self, ask: messages.Ask) -> _Reason | None:
-        """Returns the bound that keeps the request out, if any."""
-        account = self._by_account.get((ask.team, ask.account), 0)
+        """Returns the limit that the request would exceed; None if none."""
+        account = self._open_by_account.get((ask.team, ask.account), 0)
         if account >= ask.account_limit:
             return _Reason.ACCOUNT_LIMIT
-        if self._by_team.get(ask.team, 0) >= ask.team_limit:
+        if self._open_by_team.get(ask.team, 0) >= ask.team_limit:
             return _Reason.TEAM_LIMIT
-        waiting = self._by_class.get(messages.class_key(ask), 0)
+        waiting = self._waiting_by_class.get(messages.class_key(ask), 0)
         if waiting >= ask.max_waiting:
             return _Reason.QUEUE_FULL
-        if self._size >= self._limit and not self._evictable.has_victim(ask):
+        if self._size >= self._limit and not self._eviction_order.has_victim(
+            ask
+        ):
             return _Reason.QUEUE_FULL
         return None
 
     def has_waiting(self, pool: messages.PoolKey, tier: ids.Tier) -> bool:
-        """Returns whether anything waits in the tier or above it."""
+        """Returns whether a request waits in the tier or a higher one."""
         depths = self.depths.get(pool)
         return depths is not None and any(depths[: tier + 1])
 
     def open(self, ask: messages.Ask) -> None:
         """Counts a request against its account and team."""
         self._open[ask.request] = ask
-        _add(self._by_account, (ask.team, ask.account), 1)
-        _add(self._by_team, ask.team, 1)
+        _add(self._open_by_account, (ask.team, ask.account), 1)
+        _add(self._open_by_team, ask.team, 1)
 
     def add(self, ask: messages.Ask, expires_at: float) -> queues.QueuedRequest:
-        """Queues a request that no bound keeps out; see `pop_victims`."""
+        """Queues a request that `find_refusal` accepts; see `pop_victims`."""
         waiting = queues.QueuedRequest(ask, next(self._sequence))
         self.open(ask)
-        _add(self._by_class, messages.class_key(ask), 1)
-        self._evictable.add(waiting)
+        _add(self._waiting_by_class, messages.class_key(ask), 1)
+        self._eviction_order.add(waiting)
         self._enqueue(waiting, expires_at)
         return waiting
 
@@ -87,89 +90,91 @@
         avoid: tuple[ids.EndpointId, ...],
         expires_at: float,
     ) -> queues.QueuedRequest:
-        """Queues a request that ran before, ahead of its tier."""
+        """Queues a retry, ahead of the other requests of its tier."""
         waiting = queues.QueuedRequest(ask, next(self._sequence), True, avoid)
         self._enqueue(waiting, expires_at)
         return waiting
 
     def pop_victims(self, tier: ids.Tier) -> list[Removal]:
-        """Evicts from below `tier` what an `add` brought over the bound."""
+        """Evicts requests below `tier` until the queue limit is met."""
         evicted = []
         while self._size > self._limit:
-            victim = self._evictable.find_victim(tier)
+            victim = self._eviction_order.find_victim(tier)
             if victim is None:
                 break
-            self._give_up(victim)
+            self._remove(victim)
             evicted.append((victim, _Reason.EVICTED))
         return evicted
 
     def pop_expired(self, now: float) -> list[Removal]:
-        """Gives up the requests whose time has come."""
+        """Removes the requests that have expired."""
         expired = []
-        while self._expiry and self._expiry[0][0] <= now:
-            _, _, waiting = heapq.heappop(self._expiry)
+        while self._expirations and self._expirations[0][0] <= now:
+            _, _, waiting = heapq.heappop(self._expirations)
             if not waiting.alive:
                 continue
-            self._give_up(waiting)
-            late = waiting.ask.give_up_at > now
+            self._remove(waiting)
+            before_deadline = waiting.ask.give_up_at > now
             reason = (
-                _Reason.TARGET_UNREACHABLE if late else _Reason.WAITED_TOO_LONG
+                _Reason.TARGET_UNREACHABLE
+                if before_deadline
+                else _Reason.WAITED_TOO_LONG
             )
             expired.append((waiting, reason))
         return expired
 
     def withdraw(self, request: ids.RequestId) -> queues.QueuedRequest | None:
-        """Gives up a waiting request whose caller is gone."""
+        """Removes a waiting request whose caller has disconnected."""
         waiting = self._waiting.get(request)
         if waiting is not None:
-            self._give_up(waiting)
+            self._remove(waiting)
         return waiting
 
     def pop_all(self) -> list[queues.QueuedRequest]:
-        """Gives up everything that waits."""
-        rest = list(self._waiting.values())
-        for waiting in rest:
-            self._give_up(waiting)
-        return rest
+        """Removes all waiting requests."""
+        remaining = list(self._waiting.values())
+        for waiting in remaining:
+            self._remove(waiting)
+        return remaining
 
-    def find_next(
+    def peek(
         self,
         pool: messages.PoolKey,
         tier: ids.Tier,
         now: float,
         only: messages.ClassKey | None = None,
     ) -> queues.QueuedRequest | None:
-        """Returns the request to serve next; `take` removes it."""
+        """Returns the request to serve next; `dequeue` removes it."""
         queue = self._tiers.get((pool, tier))
-        return queue.find_next(now, only) if queue else None
+        return queue.peek(now, only) if queue else None
 
-    def take(self, waiting: queues.QueuedRequest) -> None:
-        """Removes the request that `find_next` returned: it is served."""
-        queue = self._tiers[_place(waiting)]
-        queue.take(waiting)
-        self._forget(waiting)
+    def dequeue(self, waiting: queues.QueuedRequest) -> None:
+        """Removes the request that `peek` returned, because it is served."""
+        queue = self._tiers[_queue_key(waiting)]
+        queue.dequeue(waiting)
+        self._uncount(waiting)
 
     def find_ask(self, request: ids.RequestId) -> messages.Ask | None:
-        """Returns the ask of a request that is still open."""
+        """Returns the ask of an open request; None if it isn't open."""
         return self._open.get(request)
 
     def count_open(self) -> int:
-        """Returns the requests that are not closed yet."""
+        """Returns the number of requests that aren't closed yet."""
         return len(self._open)
 
     def is_waiting(self, request: ids.RequestId) -> bool:
-        """Returns whether the request stands in a queue."""
+        """Returns whether the request is queued."""
         return request in self._waiting
 
     def close(self, request: ids.RequestId) -> None:
-        """Counts the request against its account and team no longer."""
+        """Stops counting a request against its account and team."""
         ask = self._open.pop(request, None)
         if ask is not None:
-            _add(self._by_account, (ask.team, ask.account), -1)
-            _add(self._by_team, ask.team, -1)
+            _add(self._open_by_account, (ask.team, ask.account), -1)
+            _add(self._open_by_team, ask.team, -1)
 
     def estimate_ahead(self, ask: messages.Ask) -> int:
-        """Returns about how many of its tier would go before the request."""
+        """Estimates how many requests of its tier would be served first."""
         queue = self._tiers.get((messages.pool_key(ask), ask.tier))
         return queue.estimate_ahead(ask) if queue else 0
 
@@ -182,9 +187,9 @@
 
     def list_queues(self) -> list[tuple[messages.PoolKey, ids.Tier]]:
         """Returns the pools and tiers with requests, urgent tiers first."""
-        places = [place for place, queue in self._tiers.items() if queue.size]
-        places.sort(key=lambda place: place[1])
-        return places
+        keys = [key for key, queue in self._tiers.items() if queue.size]
+        keys.sort(key=lambda key: key[1])
+        return keys
 
     def get_minimum_share(
         self,
@@ -194,16 +199,16 @@
         now: float,
     ) -> float:
         """Returns the minimum share of a class that has requests waiting."""
-        head = self.find_next(pool, tier, now, key)
+        head = self.peek(pool, tier, now, key)
         return head.ask.minimum_share if head else 0.0
 
     def list_waits(
         self, now: float
     ) -> Mapping[tuple[messages.PoolKey, ids.Tier], float]:
-        """Returns the wait of the next request, by pool and tier."""
+        """Returns how long the next request has waited, by pool and tier."""
         waits = {}
         for (pool, tier), queue in self._tiers.items():
-            head = queue.find_next(now)
+            head = queue.peek(now)
             if head is not None:
                 waits[(pool, tier)] = now - head.ask.arrived
         return waits
@@ -212,7 +217,7 @@
         self, waiting: queues.QueuedRequest, expires_at: float
     ) -> None:
         ask = waiting.ask
-        pool, tier = _place(waiting)
+        pool, tier = _queue_key(waiting)
         queue = self._tiers.get((pool, tier))
         if queue is None:
             queue = self._tiers[(pool, tier)] = queues.TierQueue()
@@ -224,29 +229,30 @@
         self._size += 1
         self._waiting[ask.request] = waiting
         expiry = (expires_at, waiting.sequence, waiting)
-        heapq.heappush(self._expiry, expiry)
+        heapq.heappush(self._expirations, expiry)
 
-    def _give_up(self, waiting: queues.QueuedRequest) -> None:
-        self._tiers[_place(waiting)].drop(waiting)
-        self._forget(waiting)
+    def _remove(self, waiting: queues.QueuedRequest) -> None:
+        self._tiers[_queue_key(waiting)].remove(waiting)
+        self._uncount(waiting)
         if not waiting.again:
             self.close(waiting.ask.request)
 
-    def _forget(self, waiting: queues.QueuedRequest) -> None:
+    def _uncount(self, waiting: queues.QueuedRequest) -> None:
         ask = waiting.ask
         self._size -= 1
         self.depths[messages.pool_key(ask)][ask.tier] -= 1
         del self._waiting[ask.request]
         if not waiting.again:
-            _add(self._by_class, messages.class_key(ask), -1)
-            self._evictable.drop(waiting)
+            _add(self._waiting_by_class, messages.class_key(ask), -1)
+            self._eviction_order.drop(waiting)
 
 
-class _Evictable:
-    """Waiting requests that never ran, in the order of their eviction.
+class _EvictionOrder:
+    """Waiting requests that haven't run, in the order of their eviction.
 
-    Lower tiers go first; inside a tier those that are not protected, and of
-    these the latest deadline. Heaps drop what left the queue lazily.
+    Unprotected requests are evicted before protected ones, lower tiers before
+    higher ones, and within a tier the latest deadline first. Requests that have
+    left the queue are removed from the heaps lazily.
     """
 
     def __init__(self) -> None:
@@ -269,8 +275,8 @@
         )
 
     def find_victim(self, above: ids.Tier) -> queues.QueuedRequest | None:
-        # Protected work gives way only where nothing else is left, and only
-        # to a higher tier.
+        # Protected requests are evicted only if nothing else is left, and only
+        # for a higher tier.
         for protected in (False, True):
             lower = [
                 tier
@@ -295,9 +301,9 @@
         heapq.heappush(self._heap, (-due, -waiting.sequence, waiting))
 
     def drop(self) -> None:
-        """Counts one out, which the heap holds until it comes up."""
+        """Uncounts a removed request, which stays in the heap for now."""
         self.alive -= 1
-        if len(self._heap) > 2 * self.alive + _SLACK:
+        if len(self._heap) > 2 * self.alive + _HEAP_SLACK:
             self._heap = [entry for entry in self._heap if entry[2].alive]
             heapq.heapify(self._heap)
 
@@ -307,7 +313,7 @@
         return self._heap[0][2]
 
 
-def _place(
+def _queue_key(
     waiting: queues.QueuedRequest,
 ) -> tuple[messages.PoolKey, ids.Tier]:
     return messages.pool_key(waiting.ask), waiting.ask.tier
--- a/pollenfork/admission/forecast.py
+++ b/pollenfork/admission/forecast.py
@@ -1,4 +1,4 @@
-"""Predicted waits, from measured service times and sketches."""
+"""Predicts waits from measured holding times and quantile sketches."""
 
 from collections.abc import Sequence
 import math
@@ -14,27 +14,27 @@
 
 K = TypeVar("K")
 
-_HOLD_GUESS_S = 10.0
-_FIRST_TOKEN_GUESS_S = 0.2
-_WEIGHT = 0.02
+_DEFAULT_HOLD_S = 10.0
+_DEFAULT_FIRST_TOKEN_S = 0.2
+_EWMA_WEIGHT = 0.02
 _GRANT_WINDOW_S = 10.0
-_LEAST_RATE = 0.01
-_SURE_DEVIATIONS = 2.5
-_MS = 1000
-_KEPT_CLASSES = 256
+_MIN_RATE = 0.01
+_CERTAIN_DEVIATIONS = 2.5
+_MS_PER_S = 1000
+_MAX_CLASSES = 256
 _CORRECTION_BOUNDS = (0.4, 2.5)
-_CORRECTION_FROM_S = 0.2
+_CORRECTION_MIN_WAIT_S = 0.2
 
 
 class PoolLoad(msgspec.Struct, frozen=True):
-    """What the endpoints of a pool have and what presses on them.
+    """The free slots of a pool and the demand for them.
 
     Attributes:
-        free: Slots that the request's tier could take now.
-        in_flight: Slots in use, by tier, over all instances.
-        own_waiting: Requests waiting here, by tier.
-        peer_waiting: Requests waiting at peers, by tier, as last heard.
-        instances: Instances that share the endpoints, this one included.
+        free: Slots available to the request's tier now.
+        in_flight: Slots in use at all instances, by tier.
+        own_waiting: Requests waiting at this instance, by tier.
+        peer_waiting: Requests waiting at peers, by tier, as last reported.
+        instances: Instances that share the endpoints, including this one.
     """
 
     free: float
@@ -48,8 +48,8 @@
     """A predicted wait.
 
     Attributes:
-        queue: Releases of slots needed before the request has one.
-        rate: Such releases per second, beyond those that higher tiers take.
+        queue: Slot releases needed until the request gets a slot.
+        rate: Releases per second, excluding those that higher tiers take.
     """
 
     queue: float
@@ -61,18 +61,18 @@
         return self.queue / self.rate
 
     def is_longer_than(self, seconds: float) -> bool:
-        """Returns whether the wait is almost surely longer.
+        """Returns whether the wait is almost certainly longer.
 
-        Releases are counted as random arrivals, so that a short queue is
-        hardly ever sure to last.
+        Releases are modelled as random arrivals, so a short queue is hardly
+        ever certain to last.
         """
         released = max(0.0, seconds) * self.rate
-        spread = _SURE_DEVIATIONS * math.sqrt(released)
+        spread = _CERTAIN_DEVIATIONS * math.sqrt(released)
         return self.queue > released + spread + 1
 
 
 class Forecast:
-    """Learns from what ended and predicts what comes."""
+    """Predicts waits and durations from finished requests."""
 
     def __init__(self) -> None:
         self._holds: dict[
@@ -88,11 +88,11 @@
         self._gap_s: dict[messages.PoolKey, sketches.Mean] = {}
         self._grants: dict[messages.PoolKey, _Grants] = {}
         self._corrections = [
-            sketches.Mean(1.0, _WEIGHT) for _ in range(model.TIER_COUNT)
+            sketches.Mean(1.0, _EWMA_WEIGHT) for _ in range(model.TIER_COUNT)
         ]
 
     def record_grant(self, ask: messages.Ask, now: float) -> None:
-        """Counts a request that got its slot."""
+        """Counts a request that was granted a slot."""
         pool = messages.pool_key(ask)
         grants = self._grants.get(pool)
         if grants is None:
@@ -100,20 +100,20 @@
         grants.note(ask.tier, now)
 
     def record_first_token(self, ask: messages.Ask, seconds: float) -> None:
-        """Takes the time from grant to first token."""
+        """Records the time from the grant to the first token."""
         pool = messages.pool_key(ask)
         sketch = self._first_ms.get(pool)
         if sketch is None:
             sketch = self._first_ms[pool] = sketches.Sketch()
-        sketch.record(round(seconds * _MS))
+        sketch.record(round(seconds * _MS_PER_S))
 
     def record_end(
         self, ask: messages.Ask, hold_s: float, tokens: int, answering_s: float
     ) -> None:
-        """Takes how long a whole answer held its slot, and its length."""
+        """Records an answer's slot holding time and length."""
         pool = messages.pool_key(ask)
         key = (messages.class_key(ask), pool)
-        if key not in self._holds and len(self._holds) >= _KEPT_CLASSES:
+        if key not in self._holds and len(self._holds) >= _MAX_CLASSES:
             oldest = next(iter(self._holds))
             del self._holds[oldest], self._tokens[oldest]
         _record_mean(self._holds, key, hold_s)
@@ -128,9 +128,9 @@
     def record_wait(
         self, waiting: queues.QueuedRequest, actual_s: float
     ) -> None:
-        """Compares a wait with its prediction and corrects the next ones."""
+        """Adjusts later predictions by the error of a past one."""
         predicted = waiting.predicted_s
-        if predicted < _CORRECTION_FROM_S:
+        if predicted < _CORRECTION_MIN_WAIT_S:
             return
         low, high = _CORRECTION_BOUNDS
         ratio = min(max(actual_s / predicted, low), high)
@@ -141,72 +141,70 @@
     def predict_hold(
         self, key: messages.ClassKey, pool: messages.PoolKey, tier: ids.Tier
     ) -> float:
-        """Returns the seconds that a request of the class holds a slot."""
+        """Returns the expected slot holding time of a class, in seconds."""
         held = self._holds.get((key, pool))
-        return held.value if held else self._expect_tier_hold(pool, tier)
+        return held.value if held else self._predict_tier_hold(pool, tier)
 
-    def predict_first_token(self, ask: messages.Ask, part: float) -> float:
-        """Returns the quantile of the seconds from grant to first token."""
+    def predict_first_token(self, ask: messages.Ask, quantile: float) -> float:
+        """Returns a quantile of the seconds from grant to first token."""
         sketch = self._first_ms.get(messages.pool_key(ask))
-        found = sketch.quantile(part) if sketch else None
-        return found / _MS if found else _FIRST_TOKEN_GUESS_S
+        found = sketch.quantile(quantile) if sketch else None
+        return found / _MS_PER_S if found else _DEFAULT_FIRST_TOKEN_S
 
-    def predict_answer(self, ask: messages.Ask, part: float) -> float:
-        """Returns the quantile of the seconds from grant to the last token."""
+    def predict_answer(self, ask: messages.Ask, quantile: float) -> float:
+        """Returns a quantile of the seconds from grant to last token."""
         pool = messages.pool_key(ask)
         sketch = self._tokens.get((messages.class_key(ask), pool))
-        tokens = (sketch.quantile(part) if sketch else None) or 0
+        tokens = (sketch.quantile(quantile) if sketch else None) or 0
         if ask.max_tokens is not None:
             tokens = min(tokens, ask.max_tokens)
         gap = self._gap_s.get(pool)
         answering = tokens * gap.value if gap else 0.0
-        return self.predict_first_token(ask, part) + answering
+        return self.predict_first_token(ask, quantile) + answering
 
     def predict_wait(
-        self, ask: messages.Ask, ahead: int, supply: PoolLoad, now: float
+        self, ask: messages.Ask, ahead: int, load: PoolLoad, now: float
     ) -> Wait:
-        """Returns what stands between the request and its slot.
+        """Predicts the wait of a request for its slot.
 
         Args:
             ask: The request.
-            ahead: How many of its tier go before it at this instance.
-            supply: The endpoints and what presses on them.
+            ahead: Requests of its tier served before it at this instance.
+            load: The pool's free slots and the demand for them.
             now: Monotonic seconds.
         """
         tier = ask.tier
-        higher = sum(supply.own_waiting[:tier]) + sum(
-            supply.peer_waiting[:tier]
-        )
-        same = _scale_ahead(ahead, supply, tier)
-        queue = max(0.0, higher + same + 1 - supply.free)
-        rate = self._estimate_rate(ask, supply, now)
+        higher = sum(load.own_waiting[:tier]) + sum(load.peer_waiting[:tier])
+        same = _scale_to_instances(ahead, load, tier)
+        queue = max(0.0, higher + same + 1 - load.free)
+        rate = self._estimate_rate(ask, load, now)
         return Wait(queue, rate / self._corrections[tier].value)
 
     def _estimate_rate(
-        self, ask: messages.Ask, supply: PoolLoad, now: float
+        self, ask: messages.Ask, load: PoolLoad, now: float
     ) -> float:
         pool = messages.pool_key(ask)
         releases = sum(
-            count / self._expect_tier_hold(pool, ids.Tier(tier))
-            for tier, count in enumerate(supply.in_flight)
+            count / self._predict_tier_hold(pool, ids.Tier(tier))
+            for tier, count in enumerate(load.in_flight)
             if count
         )
         grants = self._grants.get(pool)
         taken = 0.0
         if grants is not None:
-            taken = grants.rate_below(ask.tier, now) * supply.instances
-        least = max(releases * ask.minimum_share, _LEAST_RATE)
-        return max(releases - taken, least)
+            taken = grants.rate_above(ask.tier, now) * load.instances
+        min_rate = max(releases * ask.minimum_share, _MIN_RATE)
+        return max(releases - taken, min_rate)
 
-    def _expect_tier_hold(
+    def _predict_tier_hold(
         self, pool: messages.PoolKey, tier: ids.Tier
     ) -> float:
         held = self._tier_holds.get((pool, tier))
-        return max(held.value, 0.01) if held else _HOLD_GUESS_S
+        return max(held.value, 0.01) if held else _DEFAULT_HOLD_S
 
 
 class _Grants:
-    """Grants per second by tier, over a sliding window."""
+    """Grants per second by tier, over consecutive windows."""
 
     def __init__(self, now: float) -> None:
         self._since = now
@@ -214,14 +212,14 @@
         self._rates = [0.0] * model.TIER_COUNT
 
     def note(self, tier: ids.Tier, now: float) -> None:
-        self._turn(now)
+        self._rotate(now)
         self._current[tier] += 1
 
-    def rate_below(self, tier: ids.Tier, now: float) -> float:
-        self._turn(now)
+    def rate_above(self, tier: ids.Tier, now: float) -> float:
+        self._rotate(now)
         return sum(self._rates[:tier])
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         elapsed = now - self._since
         if elapsed < _GRANT_WINDOW_S:
             return
@@ -230,12 +228,13 @@
         self._since = now
 
 
-def _scale_ahead(ahead: int, supply: PoolLoad, tier: ids.Tier) -> float:
-    """Scales what is ahead here to all instances, which share the slots."""
-    own = supply.own_waiting[tier]
-    peers = supply.peer_waiting[tier]
+def _scale_to_instances(ahead: int, load: PoolLoad, tier: ids.Tier) -> float:
+    """Scales a local queue position to all instances sharing the slots."""
+    own = load.own_waiting[tier]
+    peers = load.peer_waiting[tier]
     if not own:
-        # An empty queue here gets its first slot before the peers' tails.
+        # The first request of an empty queue is served before the requests at
+        # the end of peers' queues.
         return min(peers, 1)
     return ahead * (own + peers) / own
 
@@ -243,5 +242,5 @@
 def _record_mean(means: dict[K, sketches.Mean], key: K, value: float) -> None:
     mean = means.get(key)
     if mean is None:
-        mean = means[key] = sketches.Mean(value, _WEIGHT)
+        mean = means[key] = sketches.Mean(value, _EWMA_WEIGHT)
     mean.record(value)
--- a/pollenfork/admission/messages.py
+++ b/pollenfork/admission/messages.py
@@ -1,4 +1,4 @@
-"""What other slices say to admission and hear from it."""
+"""Messages between admission and other packages."""
 
 import enum
 from typing import NewType
@@ -14,20 +14,20 @@
 
 
 class Ask(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A request that wants a slot at an endpoint.
+    """A request for a slot at an endpoint.
 
     Times are monotonic seconds of this instance.
 
     Attributes:
-        first_token_due: When the class's first-token target runs out.
-        give_up_at: When the wait ends with a refusal.
-        answer_due: When the class's whole-answer target runs out, if any.
-        late_refused: Refuse as soon as the target can't be met.
-        prefix: Hash of the prompt's head, for prefix affinity.
-        prompt_tokens: Estimate.
-        max_tokens: The caller's own bound on the answer, if any.
+        first_token_due: The deadline of the class's first-token target.
+        give_up_at: When the request is refused if it is still waiting.
+        answer_due: The deadline of the class's whole-answer target, if any.
+        late_refused: Whether to refuse as soon as the target can't be met.
+        prefix: Hash of the start of the prompt, for prefix affinity.
+        prompt_tokens: The estimated length of the prompt.
+        max_tokens: The caller's limit on the answer's length, if any.
         service: Set for plain services; `model` is empty then.
-        idempotent: A second run does no harm.
+        idempotent: Whether the request may safely run twice.
     """
 
     request: ids.RequestId
@@ -56,11 +56,11 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a request was given up; each has its counter.
+    """Why a request was refused; each reason has a counter.
 
-    The answer to a first ask is always `not_run`: the request was never
-    sent. The last four answer only an `AskAgain`; what the earlier attempts
-    did is known to whoever asked.
+    The outcome of a refused `Ask` is always `not_run`, as the request was never
+    sent. The last four reasons are given only to an `AskAgain`, whose sender
+    knows the outcome of the earlier attempts.
     """
 
     QUEUE_FULL = "queue_full"
@@ -80,10 +80,10 @@
 
 
 class Refused(msgspec.Struct, frozen=True, kw_only=True):
-    """The request gets no (further) attempt.
+    """The request gets no attempt, or no further one.
 
     Attributes:
-        retry_after_s: When to come back, where a prediction exists.
+        retry_after_s: When to retry, if a prediction exists.
     """
 
     request: ids.RequestId
@@ -92,23 +92,23 @@
 
 
 class Withdrawn(msgspec.Struct, frozen=True, kw_only=True):
-    """The caller went away while the request was waiting."""
+    """The caller disconnected while the request was waiting."""
 
     request: ids.RequestId
 
 
 def class_key(ask: Ask) -> ClassKey:
-    """Returns the class's name, which is unique only inside its team."""
+    """Returns the team and class, as class names are unique per team."""
     return ask.team, ask.class_name
 
 
 def pool_key(ask: Ask) -> PoolKey:
-    """Returns what the request needs of an endpoint."""
+    """Returns the pool of endpoints that can serve the request."""
     if ask.service is None:
         return PoolKey(ask.model)
     return service_key(ask.service)
 
 
 def service_key(name: ids.ServiceName) -> PoolKey:
-    """Returns the pool of a service, apart from any model of that name."""
+    """Returns a service's pool, distinct from a model of the same name."""
     return PoolKey(_SERVICE_PREFIX + name)
--- a/pollenfork/admission/queues.py
+++ b/pollenfork/admission/queues.py
@@ -1,4 +1,4 @@
-"""Waiting requests in their order: tiers, deadlines, fair accounts."""
+"""Queues of waiting requests, ordered by deadline and fair by account."""
 
 import collections
 from collections.abc import Iterator
@@ -8,17 +8,18 @@
 from pollenfork import ids
 from pollenfork.admission import messages
 
-_REMEMBERED_ACCOUNTS = 1024
+_MAX_ACCOUNTS = 1024
 
 
 class QueuedRequest:
-    """One waiting request.
+    """A waiting request.
 
     Attributes:
         alive: False once served, refused or withdrawn; heaps drop it lazily.
-        again: It ran before, so it goes first and is never evicted.
-        avoid: Endpoints that failed it already.
-        predicted_s: The wait predicted when it came, in seconds.
+        is_retry: Whether it has run before; retries go first and are never
+            evicted.
+        avoid: Endpoints that have already failed it.
+        predicted_s: The wait predicted on arrival, in seconds.
     """
 
     __slots__ = ("again", "alive", "ask", "avoid", "predicted_s", "sequence")
@@ -38,16 +39,16 @@
         self.predicted_s = 0.0
 
 
-SortKey = tuple[bool, float, int]  # Late, deadline, arrival.
+SortKey = tuple[bool, float, int]  # Late, deadline, sequence.
 
 
 class ClassQueue:
-    """The waiting requests of one class: fair among its accounts.
+    """The waiting requests of a class, fair among its accounts.
 
-    Start-time fair queueing: each account has a virtual time that grows by
-    one with each request served, and the account furthest behind goes next.
-    Inside an account the earliest deadline goes first; a request whose
-    deadline has passed goes after those that can still make theirs.
+    Uses start-time fair queueing: each account has a virtual time that grows by
+    one with each request served, and the account with the lowest virtual time
+    goes next. Within an account the earliest deadline goes first; requests
+    whose deadline has passed go after those that can still meet theirs.
     """
 
     def __init__(self) -> None:
@@ -56,12 +57,12 @@
             ids.AccountId, list[tuple[bool, float, int, QueuedRequest]]
         ] = {}
         self._turns: list[tuple[float, int, ids.AccountId]] = []
-        self._served: dict[ids.AccountId, float] = {}
-        self._virtual = 0.0
-        self._order = itertools.count()
+        self._finish_times: dict[ids.AccountId, float] = {}
+        self._virtual_time = 0.0
+        self._turn_count = itertools.count()
 
     def add(self, waiting: QueuedRequest) -> None:
-        """Queues the request behind its account's earlier deadlines."""
+        """Queues a request by its deadline within its account."""
         ask = waiting.ask
         self.size += 1
         entry = (False, ask.first_token_due, waiting.sequence, waiting)
@@ -70,11 +71,13 @@
             heapq.heappush(heap, entry)
             return
         self._accounts[ask.account] = [entry]
-        start = max(self._virtual, self._served.get(ask.account, 0.0))
+        start = max(
+            self._virtual_time, self._finish_times.get(ask.account, 0.0)
+        )
         self._push_turn(start, ask.account)
 
-    def find_next(self, now: float) -> QueuedRequest | None:
-        """Returns the request to serve next, which stays in the queue."""
+    def peek(self, now: float) -> QueuedRequest | None:
+        """Returns the request to serve next without removing it."""
         while self._turns:
             _, _, account = self._turns[0]
             head = self._find_head(account, now)
@@ -82,26 +85,26 @@
                 return head
             start, _, _ = heapq.heappop(self._turns)
             del self._accounts[account]
-            self._remember(account, start)
+            self._store_finish_time(account, start)
         return None
 
-    def take_next(self) -> None:
-        """Removes what `find_next` returned and charges its account."""
+    def dequeue(self) -> None:
+        """Removes what `peek` returned and charges its account."""
         start, _, account = self._turns[0]
         _, _, _, waiting = heapq.heappop(self._accounts[account])
         waiting.alive = False
         self.size -= 1
-        self._virtual = start
-        turn = (start + 1.0, next(self._order), account)
+        self._virtual_time = start
+        turn = (start + 1.0, next(self._turn_count), account)
         heapq.heapreplace(self._turns, turn)
 
-    def drop(self, waiting: QueuedRequest) -> None:
-        """Removes a request from wherever it stands."""
+    def remove(self, waiting: QueuedRequest) -> None:
+        """Removes a request from any position."""
         waiting.alive = False
         self.size -= 1
 
     def estimate_ahead(self, account: ids.AccountId) -> int:
-        """Returns about how many go before the account's next request."""
+        """Estimates how many requests precede the account's next one."""
         heap = self._accounts.get(account, ())
         return min(self.size, (len(heap) + 1) * len(self._accounts))
 
@@ -120,81 +123,81 @@
         return None
 
     def _push_turn(self, start: float, account: ids.AccountId) -> None:
-        heapq.heappush(self._turns, (start, next(self._order), account))
+        heapq.heappush(self._turns, (start, next(self._turn_count), account))
 
-    def _remember(self, account: ids.AccountId, start: float) -> None:
-        if len(self._served) >= _REMEMBERED_ACCOUNTS:
-            self._served = {
+    def _store_finish_time(self, account: ids.AccountId, start: float) -> None:
+        if len(self._finish_times) >= _MAX_ACCOUNTS:
+            self._finish_times = {
                 name: at
-                for name, at in self._served.items()
-                if at > self._virtual
+                for name, at in self._finish_times.items()
+                if at > self._virtual_time
             }
-        self._served[account] = start
+        self._finish_times[account] = start
 
 
 class TierQueue:
-    """The waiting requests of one pool in one tier.
+    """The waiting requests of a pool in one tier.
 
-    Those that ask again go first; among the classes, the one whose next
-    request has the earliest deadline.
+    Retries go first, then the class whose next request has the earliest
+    deadline.
     """
 
     def __init__(self) -> None:
         self.size = 0
-        self._again: collections.deque[QueuedRequest] = collections.deque()
+        self._retries: collections.deque[QueuedRequest] = collections.deque()
         self._classes: dict[messages.ClassKey, ClassQueue] = {}
 
     def add(self, waiting: QueuedRequest) -> None:
-        """Queues the request."""
+        """Queues a request."""
         self.size += 1
         if waiting.again:
-            self._again.append(waiting)
+            self._retries.append(waiting)
             return
-        self._open_class(waiting).add(waiting)
+        self._get_or_add_class(waiting).add(waiting)
 
-    def find_next(
+    def peek(
         self, now: float, only: messages.ClassKey | None = None
     ) -> QueuedRequest | None:
         """Returns the request to serve next, of one class if `only` is set."""
         if only is not None:
             queue = self._classes.get(only)
-            return queue.find_next(now) if queue else None
-        while self._again:
-            if self._again[0].alive:
-                return self._again[0]
-            self._again.popleft()
+            return queue.peek(now) if queue else None
+        while self._retries:
+            if self._retries[0].alive:
+                return self._retries[0]
+            self._retries.popleft()
         best: QueuedRequest | None = None
-        best_order: SortKey = (True, 0.0, 0)
+        best_key: SortKey = (True, 0.0, 0)
         for waiting in self._list_heads(now):
-            order = _rate_order(waiting, now)
-            if best is None or order < best_order:
-                best, best_order = waiting, order
+            key = _make_sort_key(waiting, now)
+            if best is None or key < best_key:
+                best, best_key = waiting, key
         return best
 
-    def take(self, waiting: QueuedRequest) -> None:
-        """Removes what `find_next` returned and charges its account."""
+    def dequeue(self, waiting: QueuedRequest) -> None:
+        """Removes what `peek` returned and charges its account."""
         self.size -= 1
         if waiting.again:
             waiting.alive = False
             return
         key = messages.class_key(waiting.ask)
         queue = self._classes[key]
-        queue.take_next()
-        self._close_class(key, queue)
+        queue.dequeue()
+        self._drop_empty_class(key, queue)
 
-    def drop(self, waiting: QueuedRequest) -> None:
-        """Removes a request from wherever it stands."""
+    def remove(self, waiting: QueuedRequest) -> None:
+        """Removes a request from any position."""
         self.size -= 1
         if waiting.again:
             waiting.alive = False
             return
         key = messages.class_key(waiting.ask)
         queue = self._classes[key]
-        queue.drop(waiting)
-        self._close_class(key, queue)
+        queue.remove(waiting)
+        self._drop_empty_class(key, queue)
 
     def estimate_ahead(self, ask: messages.Ask) -> int:
-        """Returns about how many would go before this request."""
+        """Estimates how many requests precede this one."""
         queue = self._classes.get(messages.class_key(ask))
         if queue is None:
             return self.size
@@ -206,22 +209,24 @@
 
     def _list_heads(self, now: float) -> Iterator[QueuedRequest]:
         for queue in self._classes.values():
-            head = queue.find_next(now)
+            head = queue.peek(now)
             if head is not None:
                 yield head
 
-    def _open_class(self, waiting: QueuedRequest) -> ClassQueue:
+    def _get_or_add_class(self, waiting: QueuedRequest) -> ClassQueue:
         key = messages.class_key(waiting.ask)
         queue = self._classes.get(key)
         if queue is None:
             queue = self._classes[key] = ClassQueue()
         return queue
 
-    def _close_class(self, key: messages.ClassKey, queue: ClassQueue) -> None:
+    def _drop_empty_class(
+        self, key: messages.ClassKey, queue: ClassQueue
+    ) -> None:
         if not queue.size:
             del self._classes[key]
 
 
-def _rate_order(waiting: QueuedRequest, now: float) -> SortKey:
+def _make_sort_key(waiting: QueuedRequest, now: float) -> SortKey:
     due = waiting.ask.first_token_due
     return due <= now, due, waiting.sequence
--- a/pollenfork/admission/shares.py
+++ b/pollenfork/admission/shares.py
@@ -1,4 +1,4 @@
-"""The minimum share that keeps every class moving."""
+"""Minimum shares, which keep classes from starving."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -6,12 +6,12 @@
 from pollenfork import ids
 from pollenfork.admission import messages
 
-_MOST_REQUESTS = 2
-_LEAST_HOLD_S = 0.05
+_MAX_REQUESTS = 2
+_MIN_HOLD_S = 0.05
 
 
 class WaitingClass(NamedTuple):
-    """Where a class waits."""
+    """A class with requests waiting in a pool and tier."""
 
     pool: messages.PoolKey
     key: messages.ClassKey
@@ -19,52 +19,52 @@
 
 
 class MinimumShares:
-    """Slot-seconds that waiting classes are owed.
+    """Credit in slot-seconds that waiting classes accrue.
 
-    A waiting class earns its minimum share of the slots as time passes; a
-    class that is owed a whole request's holding time is served next, ahead of
-    higher tiers, and pays for it. So a class with share `s` of `c` slots,
-    waiting at `n` instances, has a request served at each of them at least
+    A waiting class accrues its minimum share of the slots over time. Once its
+    credit covers a request's slot holding time, one request is served ahead of
+    higher tiers and the credit is charged. A class with share `s` of `c` slots,
+    waiting at `n` instances, thus has a request served at each of them at least
     every `hold * n / (s * c)` seconds, once a slot is free.
     """
 
     def __init__(self) -> None:
-        self._owed: dict[WaitingClass, float] = {}
+        self._credit: dict[WaitingClass, float] = {}
         self._holds: dict[WaitingClass, float] = {}
 
     def accrue(
-        self, place: WaitingClass, slot_seconds: float, hold_s: float
+        self, waiting: WaitingClass, slot_seconds: float, hold_s: float
     ) -> None:
-        """Adds what a waiting class earned, up to a few requests' worth.
+        """Adds a waiting class's credit, up to that of a few requests.
 
         Args:
-            place: The class.
-            slot_seconds: Its share of the slots times the time passed.
-            hold_s: How long its requests hold a slot.
+            waiting: The waiting class.
+            slot_seconds: Its share of the slots times the elapsed time.
+            hold_s: The slot holding time of its requests, in seconds.
         """
-        hold_s = max(hold_s, _LEAST_HOLD_S)
-        owed = self._owed.get(place, 0.0) + slot_seconds
-        self._owed[place] = min(owed, _MOST_REQUESTS * hold_s)
-        self._holds[place] = hold_s
+        hold_s = max(hold_s, _MIN_HOLD_S)
+        credit = self._credit.get(waiting, 0.0) + slot_seconds
+        self._credit[waiting] = min(credit, _MAX_REQUESTS * hold_s)
+        self._holds[waiting] = hold_s
 
     def list_due(self) -> list[WaitingClass]:
-        """Returns the classes that are owed a request, the most owed first."""
+        """Returns the classes with credit for a request, the most first."""
         due = [
-            place
-            for place, owed in self._owed.items()
-            if owed >= self._holds[place]
+            waiting
+            for waiting, credit in self._credit.items()
+            if credit >= self._holds[waiting]
         ]
-        due.sort(key=lambda p: self._owed[p] / self._holds[p], reverse=True)
+        due.sort(key=lambda p: self._credit[p] / self._holds[p], reverse=True)
         return due
 
-    def charge(self, place: WaitingClass) -> None:
-        """Charges a request that was served, by whichever rule."""
-        owed = self._owed.get(place)
-        if owed is not None:
-            self._owed[place] = max(0.0, owed - self._holds[place])
+    def charge(self, waiting: WaitingClass) -> None:
+        """Charges a served request, whichever rule it was served under."""
+        credit = self._credit.get(waiting)
+        if credit is not None:
+            self._credit[waiting] = max(0.0, credit - self._holds[waiting])
 
-    def retain(self, places: Iterable[WaitingClass]) -> None:
-        """Forgets the classes that no longer wait."""
-        kept = set(places)
-        self._owed = {p: v for p, v in self._owed.items() if p in kept}
+    def retain(self, waiting_classes: Iterable[WaitingClass]) -> None:
+        """Drops the credit of classes that no longer wait."""
+        kept = set(waiting_classes)
+        self._credit = {p: v for p, v in self._credit.items() if p in kept}
         self._holds = {p: v for p, v in self._holds.items() if p in kept}
--- a/pollenfork/admission/tests/test_core.py
+++ b/pollenfork/admission/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Order, bounds, eviction and expiry of waiting requests."""
+"""Order, limits, eviction and expiry of waiting requests."""
 
 from typing import Any
 
@@ -33,13 +33,13 @@
 def drain(queue: core.Admission, now: float = 0.0) -> list[str]:
     served = []
     for pool, tier in queue.list_queues():
-        while waiting := queue.find_next(pool, tier, now):
-            queue.take(waiting)
+        while waiting := queue.peek(pool, tier, now):
+            queue.dequeue(waiting)
             served.append(waiting.ask.request)
     return served
 
 
-def test_urgent_tier_goes_first_and_earliest_deadline_inside() -> None:
+def test_urgent_tier_goes_first_then_the_earliest_deadline() -> None:
     queue = core.Admission(8)
     fill(
         queue,
@@ -58,9 +58,7 @@
     assert set(drain(queue)[:6]) >= {"small-0", "small-1", "small-2"}
 
 
-def test_request_that_can_still_make_its_target_goes_before_a_late_one() -> (
-    None
-):
+def test_request_that_can_still_meet_its_target_precedes_a_late_one() -> None:
     queue = core.Admission(8)
     fill(
         queue,
@@ -73,7 +71,7 @@
 @pytest.mark.parametrize(
     ("waiting", "ask", "victim"),
     [
-        # The lowest tier goes, and in it the latest deadline.
+        # The latest deadline of the lowest tier is evicted.
         (
             [
                 make_ask("a", tier=4),
@@ -89,9 +87,9 @@
             make_ask("x", tier=1),
             "a",
         ),
-        # Protected work gives way to a higher tier where nothing else is.
+        # A protected request is evicted if nothing else is left.
         ([make_ask("a", tier=5, protected=True)], make_ask("x", tier=1), "a"),
-        # Never for the same tier or a lower one.
+        # Nothing is evicted for the same tier or a lower one.
         ([make_ask("a", tier=3)], make_ask("x", tier=3), None),
         ([make_ask("a", tier=3)], make_ask("x", tier=6), None),
     ],
@@ -101,11 +99,11 @@
 ) -> None:
     queue = core.Admission(len(waiting))
     fill(queue, *waiting)
-    barrier = queue.find_refusal(ask)
+    refusal = queue.find_refusal(ask)
     if victim is None:
-        assert barrier is messages.RefusalReason.QUEUE_FULL
+        assert refusal is messages.RefusalReason.QUEUE_FULL
         return
-    assert barrier is None
+    assert refusal is None
     queue.add(ask, FAR)
     evicted = queue.pop_victims(ask.tier)
     assert [(w.ask.request, r.value) for w, r in evicted] == [
@@ -117,8 +115,8 @@
 def test_work_that_ran_is_never_evicted() -> None:
     queue = core.Admission(1)
     queue.add_again(make_ask("ran", tier=6), (), FAR)
-    barrier = queue.find_refusal(make_ask("x", tier=0))
-    assert barrier is messages.RefusalReason.QUEUE_FULL
+    refusal = queue.find_refusal(make_ask("x", tier=0))
+    assert refusal is messages.RefusalReason.QUEUE_FULL
 
 
 @pytest.mark.parametrize(
@@ -147,7 +145,7 @@
         (30.0, 30.0, messages.RefusalReason.WAITED_TOO_LONG),
     ],
 )
-def test_request_is_given_up_the_moment_its_time_ends(
+def test_request_is_removed_as_soon_as_it_expires(
     expires_at: float, give_up_at: float, reason: messages.RefusalReason
 ) -> None:
     queue = core.Admission(8)
--- a/pollenfork/decisions.py
+++ b/pollenfork/decisions.py
@@ -292,14 +292,14 @@
     ) -> bool:
         if not self._dispatch.has_room(pool):
             return False
-        waiting = self._admission.find_next(pool, tier, now)
+        waiting = self._admission.peek(pool, tier, now)
         if waiting is None:
             return False
         return self._serve(waiting, dispatch_core.Rule.SPLIT, now)
 
     def _serve_shares(self, now: float) -> None:
         for pool, key, tier in self._shares.list_due():
-            waiting = self._admission.find_next(pool, tier, now, key)
+            waiting = self._admission.peek(pool, tier, now, key)
             if waiting is not None:
                 self._serve(waiting, dispatch_core.Rule.SHARE, now)
 
@@ -314,7 +314,7 @@
         grant = self._dispatch.place(ask, now, rule, waiting.avoid, hedge)
         if grant is None:
             return False
-        self._admission.take(waiting)
+        self._admission.dequeue(waiting)
         self._verdicts.add_grant(grant)
         key = admission_messages.class_key(ask)
         pool = admission_messages.pool_key(ask)
