--- a/pollenfork/fleet/choice.py
+++ b/pollenfork/fleet/choice.py
@@ -97,7 +97,7 @@
             max_wait_s: Seconds within which the request's prompt must have
                 been processed; None: unlimited.
             suspect: The request's digest if runners have crashed while running
-                it; it is then routed so that it can crash as few as possible.
+                it; it is then routed so that it crashes as few as possible.
 
         Returns:
             The grant; `Overloaded` if that runner's backlog exceeds
