--- a/pollenfork/dispatch/capacity.py
+++ b/pollenfork/dispatch/capacity.py
@@ -40,34 +40,34 @@
         """Applies a settings tree."""
         kept = {}
         for name, settings in tree.root.endpoints.items():
-            known = self.endpoints.get(name)
-            if known is None:
-                known = endpoints.Endpoint(name, settings)
-            known.apply_settings(settings)
-            kept[name] = known
+            endpoint = self.endpoints.get(name)
+            if endpoint is None:
+                endpoint = endpoints.Endpoint(name, settings)
+            endpoint.apply_settings(settings)
+            kept[name] = endpoint
         self.endpoints = kept
         self._services = tree.root.services
         self._rebuild(now)
 
     def record_state(self, notice: messages.EndpointNotice, now: float) -> None:
         """Updates an endpoint's state."""
-        known = self.endpoints.get(notice.endpoint)
-        if known is not None:
-            known.record_state(notice.state, now)
-            self.refresh(known, now)
+        endpoint = self.endpoints.get(notice.endpoint)
+        if endpoint is not None:
+            endpoint.record_state(notice.state, now)
+            self.refresh(endpoint, now)
 
     def record_report(
         self, report: messages.EndpointReport, now: float
     ) -> None:
         """Applies an endpoint's own load report."""
-        known = self.endpoints.get(report.endpoint)
-        if known is None:
+        endpoint = self.endpoints.get(report.endpoint)
+        if endpoint is None:
             return
-        loaded = known.loaded
-        known.record_report(report)
-        if known.loaded != loaded:
+        loaded = endpoint.loaded
+        endpoint.record_report(report)
+        if endpoint.loaded != loaded:
             self._rebuild(now)
-        self.refresh(known, now)
+        self.refresh(endpoint, now)
 
     def record_pressure(self, pressure: messages.Pressure, now: float) -> None:
         """Replaces a peer's pressure with a newer one."""
@@ -76,11 +76,11 @@
             self._count_peer(earlier, -1, now)
         count = self._peers.count()
         was_cut_off = self._peers.is_cut_off()
-        heard = self._peers.record(pressure, now)
+        peer = self._peers.record(pressure, now)
         if was_cut_off or self._peers.count() != count:
             self._rebuild(now)
         else:
-            self._count_peer(heard, 1, now)
+            self._count_peer(peer, 1, now)
 
     def record_lost(self, instance: ids.InstanceId, now: float) -> None:
         """Marks a peer as lost: drops its queue, keeps its slots a while."""
@@ -91,8 +91,8 @@
         """Expires silent peers and readmits returning endpoints."""
         if self._peers.expire(now):
             self._rebuild(now)
-        for known in self.endpoints.values():
-            self.refresh(known, now)
+        for endpoint in self.endpoints.values():
+            self.refresh(endpoint, now)
 
     def get_slot_usage(self, pool: pools.Pool) -> sharing.SlotUsage:
         """Returns the use of the slots behind a pool."""
@@ -113,35 +113,35 @@
         return usage
 
     def add_attempt(
-        self, known: endpoints.Endpoint, tier: ids.Tier, now: float
+        self, endpoint: endpoints.Endpoint, tier: ids.Tier, now: float
     ) -> None:
         """Adds an attempt of this instance."""
-        known.record_sent()
-        self._count_own(known, tier, 1)
-        self.refresh(known, now)
+        endpoint.record_sent()
+        self._count_own(endpoint, tier, 1)
+        self.refresh(endpoint, now)
 
     def remove_attempt(
-        self, known: endpoints.Endpoint, tier: ids.Tier, now: float
+        self, endpoint: endpoints.Endpoint, tier: ids.Tier, now: float
     ) -> None:
         """Removes an attempt of this instance."""
-        known.record_ended()
-        self._count_own(known, tier, -1)
-        self.refresh(known, now)
+        endpoint.record_ended()
+        self._count_own(endpoint, tier, -1)
+        self.refresh(endpoint, now)
 
-    def refresh(self, known: endpoints.Endpoint, now: float) -> None:
+    def refresh(self, endpoint: endpoints.Endpoint, now: float) -> None:
         """Updates everything derived from an endpoint's state."""
-        linked = self._pools_of.get(known.name)
-        if not linked:
+        linked_pools = self._pools_of.get(endpoint.name)
+        if not linked_pools:
             return
-        name = known.name
-        found = known.assess(now)
-        for pool in linked:
-            pool.set_open(known, found.has_room)
-        usage = linked[0].cluster.usage
-        usage.capacity += found.capacity - self._capacities[name]
-        usage.unattributed += found.unattributed - self._unattributed[name]
-        self._capacities[name] = found.capacity
-        self._unattributed[name] = found.unattributed
+        name = endpoint.name
+        assessment = endpoint.assess(now)
+        for pool in linked_pools:
+            pool.set_open(endpoint, assessment.has_room)
+        usage = linked_pools[0].cluster.usage
+        usage.capacity += assessment.capacity - self._capacities[name]
+        usage.unattributed += assessment.unattributed - self._unattributed[name]
+        self._capacities[name] = assessment.capacity
+        self._unattributed[name] = assessment.unattributed
 
     def make_pressure(
         self,
@@ -171,23 +171,23 @@
         )
         leaving = tuple(
             name
-            for name, known in self.endpoints.items()
-            if known.state is messages.EndpointState.LEAVING
+            for name, endpoint in self.endpoints.items()
+            if endpoint.state is messages.EndpointState.LEAVING
         )
         return messages.Pressure(instance, demands, occupancies, leaving)
 
     def _count_own(
-        self, known: endpoints.Endpoint, tier: ids.Tier, amount: int
+        self, endpoint: endpoints.Endpoint, tier: ids.Tier, amount: int
     ) -> None:
-        key = (known.name, tier)
+        key = (endpoint.name, tier)
         count = self._in_flight.get(key, 0) + amount
         if count:
             self._in_flight[key] = count
         else:
             del self._in_flight[key]
-        linked = self._pools_of.get(known.name)
-        if linked:
-            usage = linked[0].cluster.usage
+        linked_pools = self._pools_of.get(endpoint.name)
+        if linked_pools:
+            usage = linked_pools[0].cluster.usage
             usage.own_in_flight[tier] += amount
             usage.own_held += amount
 
@@ -198,10 +198,10 @@
         if not self._peers.is_cut_off():
             self._count_occupancies(pressure.occupancies, sign, now)
         for name in pressure.leaving:
-            known = self.endpoints.get(name)
-            if known is not None:
-                known.leaving_peers += sign
-                self.refresh(known, now)
+            endpoint = self.endpoints.get(name)
+            if endpoint is not None:
+                endpoint.leaving_peers += sign
+                self.refresh(endpoint, now)
 
     def _count_demands(
         self, demands: Iterable[messages.Demand], sign: int
@@ -215,43 +215,45 @@
     def _count_occupancies(
         self, occupancies: Iterable[messages.Occupancy], sign: int, now: float
     ) -> None:
-        for held in occupancies:
-            known = self.endpoints.get(held.endpoint)
-            if known is None:
+        for occupancy in occupancies:
+            endpoint = self.endpoints.get(occupancy.endpoint)
+            if endpoint is None:
                 continue
-            known.peer_attempts += sign * held.in_flight
-            linked = self._pools_of.get(known.name)
-            if linked:
-                usage = linked[0].cluster.usage
-                usage.peer_in_flight[held.tier] += sign * held.in_flight
-                usage.peer_held += sign * held.in_flight
-            self.refresh(known, now)
+            endpoint.peer_attempts += sign * occupancy.in_flight
+            linked_pools = self._pools_of.get(endpoint.name)
+            if linked_pools:
+                usage = linked_pools[0].cluster.usage
+                usage.peer_in_flight[occupancy.tier] += (
+                    sign * occupancy.in_flight
+                )
+                usage.peer_held += sign * occupancy.in_flight
+            self.refresh(endpoint, now)
 
     def _rebuild(self, now: float) -> None:
         """Recomputes everything; only for rare changes."""
         self._rebuild_pools()
-        for known in self.endpoints.values():
-            known.peer_attempts = 0
-            known.leaving_peers = 0
+        for endpoint in self.endpoints.values():
+            endpoint.peer_attempts = 0
+            endpoint.leaving_peers = 0
         for (name, tier), count in self._in_flight.items():
-            linked = self._pools_of.get(name)
-            if linked:
-                usage = linked[0].cluster.usage
+            linked_pools = self._pools_of.get(name)
+            if linked_pools:
+                usage = linked_pools[0].cluster.usage
                 usage.own_in_flight[tier] += count
                 usage.own_held += count
         for peer in self._peers.list_all():
             self._count_peer(peer, 1, now)
-        for known in self.endpoints.values():
-            self.refresh(known, now)
+        for endpoint in self.endpoints.values():
+            self.refresh(endpoint, now)
 
     def _rebuild_pools(self) -> None:
         self._pools = {}
         self._pools_of = {}
         self._capacities = dict.fromkeys(self.endpoints, 0.0)
         self._unattributed = dict.fromkeys(self.endpoints, 0)
-        for known in self.endpoints.values():
-            for key in known.list_pools():
-                self._add_to_pool(key, known)
+        for endpoint in self.endpoints.values():
+            for key in endpoint.list_pools():
+                self._add_to_pool(key, endpoint)
         for name, service in self._services.items():
             for member in service.endpoints:
                 if member in self.endpoints:
@@ -264,10 +266,10 @@
             usage.is_cut_off = self._peers.is_cut_off()
 
     def _add_to_pool(
-        self, key: admission_messages.PoolKey, known: endpoints.Endpoint
+        self, key: admission_messages.PoolKey, endpoint: endpoints.Endpoint
     ) -> None:
         pool = self._pools.get(key)
         if pool is None:
             pool = self._pools[key] = pools.Pool(key)
-        pool.add(known)
-        self._pools_of.setdefault(known.name, []).append(pool)
+        pool.add(endpoint)
+        self._pools_of.setdefault(endpoint.name, []).append(pool)
--- a/pollenfork/dispatch/latency.py
+++ b/pollenfork/dispatch/latency.py
@@ -124,9 +124,9 @@
     ) -> None:
         """Ejects stragglers."""
         groups: dict[str, list[ids.EndpointId]] = {}
-        for name, one in known.items():
-            if one.is_live():
-                groups.setdefault(one.settings.group, []).append(name)
+        for name, endpoint in known.items():
+            if endpoint.is_live():
+                groups.setdefault(endpoint.settings.group, []).append(name)
         for group in groups.values():
             for name, until in self._stragglers.pick_ejections(group, now):
                 known[name].eject(until)
