--- a/pollenfork/gateway/attempt.py
+++ b/pollenfork/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request at one runner, and what comes back."""
+"""One attempt to have a request answered by one runner."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 from pollenfork.gateway import messages
 from pollenfork.loads import messages as loads
 
-# Plain answers are kept whole before they are passed on.
-_LARGEST_ANSWER = 16 << 20
+# Answers that aren't streamed are buffered whole before they are forwarded.
+_MAX_ANSWER_BYTES = 16 << 20
 
 End = fleet_messages.End
 
 
 class Phase(enum.Enum):
-    """How far an answer has come."""
+    """How much of the answer has arrived."""
 
     WAITING = "waiting"
     HEAD = "head"
@@ -32,11 +32,11 @@
     """How an attempt ended.
 
     Attributes:
-        end: How.
-        head: The runner's head, if any came.
-        body: The body of a plain answer.
-        breach: What broke it.
-        nobody: Whether nobody listens at the runner's address.
+        end: The kind of end.
+        head: The head of the runner's answer, if one arrived.
+        body: The body of an answer that isn't streamed.
+        failure: Why the answer is incomplete.
+        connection_refused: Whether the runner's host refused the connection.
     """
 
     end: End
@@ -47,16 +47,16 @@
 
     @property
     def connection_lost(self) -> bool:
-        """Whether its connection ended before the answer did."""
-        cuts = (
+        """Whether the connection was closed before the answer was complete."""
+        losses = (
             connection.ResponseFailure.CLOSED,
             connection.ResponseFailure.RESET,
         )
-        return self.end is End.BROKEN and self.failure in cuts
+        return self.end is End.BROKEN and self.failure in losses
 
     @property
     def sign(self) -> loads.Sign | None:
-        """What it shows of the runner's address, for other instances too."""
+        """What it shows about the runner's address, for all instances."""
         if self.end is End.DISPLACED:
             return loads.Sign.DISPLACED
         if self.end is not End.UNSENT:
@@ -67,13 +67,13 @@
 
 
 class StreamRelay(msgspec.Struct):
-    """The caller's side of a stream, across its attempts.
+    """Forwards a stream to the caller; kept across the request's attempts.
 
     Attributes:
-        splitter: Knows which events have been passed on.
-        begin: Called with the runner's head before the first event.
-        write: Called with whole events.
-        begun: Whether the caller has the head.
+        splitter: Tracks which events have been forwarded.
+        begin: Called with the runner's response head before the first event.
+        write: Called with complete events.
+        begun: Whether the head has been sent to the caller.
     """
 
     splitter: events.EventSplitter
@@ -83,28 +83,28 @@
 
 
 class Attempt:
-    """Takes the answer from the connection.
+    """Receives the answer of one attempt from its connection.
 
     Attributes:
-        done: Resolves with how it ended.
-        phase: How far it has come.
-        heard_at: Monotonic seconds of the last sign of the runner's work.
+        done: Resolves with the result of the attempt.
+        phase: How much of the answer has arrived.
+        heard_at: Monotonic seconds of the last head or event received.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         codec: edges.Codec,
-        call: messages.RequestHead,
+        request: messages.RequestHead,
         relay: StreamRelay | None,
-        on_first: Callable[[], None],
+        on_first_output: Callable[[], None],
         on_head: Callable[[messages.ResponseHead], None] | None = None,
     ) -> None:
         self._loop = loop
         self._codec = codec
-        self._call = call
+        self._request = request
         self._relay = relay
-        self._on_first = on_first
+        self._on_first_output = on_first_output
         self._on_head = on_head
         self._head: messages.ResponseHead | None = None
         self._body: list[bytes] = []
@@ -114,9 +114,9 @@
         self.heard_at = loop.time()
 
     def on_head(self, status: int, headers: list[messages.Header]) -> bool:
-        """Takes the head; one that answers another request is left out."""
+        """Handles the head; returns False if it answers another request."""
         head = self._codec.decode_response(status, headers)
-        if head.attempt and head.attempt != self._call.attempt:
+        if head.attempt and head.attempt != self._request.attempt:
             return False
         self._head = head
         self.phase = Phase.HEAD
@@ -126,27 +126,27 @@
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Buffers or forwards a piece of the body."""
         if self.done.done():
             return
-        if not self._flows:
+        if not self._is_streamed:
             self._size += len(data)
-            if self._size > _LARGEST_ANSWER:
-                self._break(connection.ResponseFailure.INVALID)
+            if self._size > _MAX_ANSWER_BYTES:
+                self._fail(connection.ResponseFailure.INVALID)
             else:
                 self._body.append(data)
             return
         assert self._relay is not None
         try:
-            whole = self._relay.splitter.feed(data)
+            complete = self._relay.splitter.feed(data)
         except events.StreamError:
-            self._break(connection.ResponseFailure.INVALID)
+            self._fail(connection.ResponseFailure.INVALID)
             return
-        if whole:
-            self._pass_on(whole)
+        if complete:
+            self._forward(complete)
 
     def on_end(self) -> None:
-        """Judges a whole answer."""
+        """Determines the result of the attempt from a complete answer."""
         head = self._head
         assert head is not None
         self.phase = Phase.ENDED
@@ -155,20 +155,20 @@
         elif head.not_run:
             self._finish(AttemptResult(End.REFUSED, head))
         elif not head.sealed or not head.attempt:
-            self._break(connection.ResponseFailure.INVALID)
-        elif not self._flows:
-            self._on_first()
+            self._fail(connection.ResponseFailure.INVALID)
+        elif not self._is_streamed:
+            self._on_first_output()
             self._finish(AttemptResult(End.WHOLE, head, b"".join(self._body)))
         else:
             self._end_stream(head)
 
     def on_failure(self, failure: connection.ResponseFailure) -> None:
-        """Notes that no more comes."""
-        self._break(failure)
+        """Ends the attempt with an incomplete answer."""
+        self._fail(failure)
 
     @property
-    def _flows(self) -> bool:
-        """Whether events are passed on as they come."""
+    def _is_streamed(self) -> bool:
+        """Whether events are forwarded as they arrive."""
         head = self._head
         return (
             self._relay is not None
@@ -179,21 +179,21 @@
             and head.status == 200
         )
 
-    def _pass_on(self, whole: bytes) -> None:
+    def _forward(self, complete: bytes) -> None:
         assert self._relay is not None and self._head is not None
         self.heard_at = self._loop.time()
         if self.phase is not Phase.STREAMING:
             self.phase = Phase.STREAMING
-            self._on_first()
+            self._on_first_output()
         self._begin_relay()
-        self._relay.write(whole)
+        self._relay.write(complete)
 
     def _end_stream(self, head: messages.ResponseHead) -> None:
         assert self._relay is not None
         if self._relay.splitter.partial:
-            self._break(connection.ResponseFailure.CLOSED)
+            self._fail(connection.ResponseFailure.CLOSED)
             return
-        self._on_first()
+        self._on_first_output()
         self._begin_relay()
         self._finish(AttemptResult(End.WHOLE, head))
 
@@ -203,7 +203,7 @@
             self._relay.begun = True
             self._relay.begin(self._head)
 
-    def _break(self, failure: connection.ResponseFailure) -> None:
+    def _fail(self, failure: connection.ResponseFailure) -> None:
         self.phase = Phase.ENDED
         self._finish(AttemptResult(End.BROKEN, self._head, failure=failure))
 
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -181,8 +181,8 @@
         self, runner: fleet.Runner
     ) -> result.Result[connection.Connection, pool.Unreachable]:
         idempotent = self._admitted.route.idempotent
-        care = pool.Freshness.ANY if idempotent else pool.Freshness.RECENT
-        kept = self._tools.pool.acquire(runner, care)
+        freshness = pool.Freshness.ANY if idempotent else pool.Freshness.RECENT
+        kept = self._tools.pool.acquire(runner, freshness)
         if kept is not None:
             return result.Ok(kept)
         return await self._tools.pool.open(runner, max(0.0, self._left()))
