--- a/pollenfork/gateway/connection.py
+++ b/pollenfork/gateway/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a runner or to the store: one exchange at a time."""
+"""An HTTP/1.1 client connection that carries one exchange at a time."""
 
 import asyncio
 import enum
@@ -10,7 +10,7 @@
 
 
 class ResponseFailure(enum.Enum):
-    """Why a connection brought no whole answer."""
+    """Why a response stayed incomplete."""
 
     CLOSED = "closed"
     RESET = "reset"
@@ -18,35 +18,37 @@
 
 
 class Receiver(Protocol):
-    """Takes the answer of one exchange, as it comes."""
+    """Receives the response of one exchange as it arrives."""
 
     def on_head(self, status: int, headers: list[messages.Header]) -> bool:
-        """Takes the head; returns False where it answers something else."""
+        """Handles the head; returns False if it answers another request."""
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Handles a piece of the body."""
 
     def on_end(self) -> None:
-        """Notes that the answer is whole."""
+        """Handles the end of a complete response."""
 
     def on_failure(self, failure: ResponseFailure) -> None:
-        """Notes that no more of the answer comes."""
+        """Handles a response that stays incomplete."""
 
 
-_BODILESS = frozenset({204, 304})
-_KEEP_ALIVE = b"timeout="
+_WITHOUT_BODY = frozenset({204, 304})
+_TIMEOUT_PARAMETER = b"timeout="
 
 
 class Connection(asyncio.Protocol):
-    """Writes requests, parses answers; never reuses what is in doubt.
+    """Writes requests and parses responses.
+
+    It isn't reused once its state is uncertain.
 
     Attributes:
         idle_since: Monotonic seconds at the end of the last exchange.
-        idle_limit_s: How long the peer keeps it open when idle, in seconds;
-            None where it doesn't say.
+        idle_limit_s: Seconds for which the peer keeps the connection open when
+            idle; None if the peer doesn't say.
         reusable: Whether another exchange may follow.
-        exchanges: Exchanges begun on it.
-        connected_at_unix: The time of day at which it was opened, in seconds.
+        exchanges: Exchanges started on the connection.
+        connected_at_unix: Unix time at which it was opened, in seconds.
         connected_at: Monotonic seconds of the same moment.
     """
 
@@ -56,9 +58,9 @@
         self._parser = httptools.HttpResponseParser(self)
         self._receiver: Receiver | None = None
         self._headers: list[messages.Header] = []
-        self._framed = False
+        self._has_length = False
         self._in_body = False
-        self._skipping = False
+        self._discarding = False
         self._lost = False
         self.idle_since = 0.0
         self.connected_at_unix = 0.0
@@ -69,138 +71,138 @@
 
     @property
     def usable(self) -> bool:
-        """Whether an exchange may begin now."""
+        """Whether an exchange may start now."""
         return self.reusable and not self._lost and self._receiver is None
 
     def send(self, data: bytes, receiver: Receiver) -> None:
-        """Begins an exchange."""
+        """Starts an exchange."""
         assert self._transport is not None
         self._receiver = receiver
         self.exchanges += 1
         self._transport.write(data)
 
     def pause(self) -> None:
-        """Stops reading, so that the peer stops sending."""
+        """Stops reading, which makes the peer stop sending."""
         if self._transport is not None and not self._lost:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Reads on."""
+        """Resumes reading."""
         if self._transport is not None and not self._lost:
             self._transport.resume_reading()
 
     def abort(self) -> None:
-        """Closes at once; whoever waits for an answer is told nothing."""
+        """Closes the connection without notifying the receiver."""
         self._receiver = None
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
     def fail(self) -> None:
-        """Closes at once; whoever waits for an answer is told."""
-        self._break(ResponseFailure.RESET)
+        """Closes the connection and notifies the receiver."""
+        self._fail(ResponseFailure.RESET)
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came; bytes that nobody waits for end the connection."""
+        """Parses received bytes; closes the connection on unsolicited ones."""
         if self._receiver is None:
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._break(ResponseFailure.INVALID)
+            self._fail(ResponseFailure.INVALID)
         except httptools.HttpParserError:
-            self._break(ResponseFailure.INVALID)
+            self._fail(ResponseFailure.INVALID)
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length; breaks any other."""
+        """Completes a response without a length; fails any other."""
         self.reusable = False
-        if self._in_body and not self._framed and not self._skipping:
-            self._end()
+        if self._in_body and not self._has_length and not self._discarding:
+            self._complete()
         else:
-            self._break(ResponseFailure.CLOSED)
+            self._fail(ResponseFailure.CLOSED)
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Breaks the answer under way."""
+        """Fails the response in progress."""
         self._lost = True
         self.reusable = False
-        self._break(ResponseFailure.RESET if error else ResponseFailure.CLOSED)
+        self._fail(ResponseFailure.RESET if error else ResponseFailure.CLOSED)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begins a head; one that nobody waits for is a stray."""
+        """Starts a response; an unsolicited one prevents reuse."""
         if self._receiver is None:
             self.reusable = False
         self._headers = []
-        self._framed = False
+        self._has_length = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
+        """Stores a header."""
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding"):
-            self._framed = True
+            self._has_length = True
         elif name == b"keep-alive":
-            self._note_keep_alive(value)
+            self._read_keep_alive(value)
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hands the head on."""
+        """Passes the head to the receiver."""
         status = self._parser.get_status_code()
         if self._receiver is None or status < 200:
             return
-        if status in _BODILESS:
-            self._framed = True
+        if status in _WITHOUT_BODY:
+            self._has_length = True
         self._in_body = True
-        self._skipping = not self._receiver.on_head(status, self._headers)
-        if self._skipping and not self._framed:
-            self._break(ResponseFailure.INVALID)
+        self._discarding = not self._receiver.on_head(status, self._headers)
+        if self._discarding and not self._has_length:
+            self._fail(ResponseFailure.INVALID)
 
     def on_body(self, data: bytes) -> None:
-        """Hands a piece of the body on."""
-        if self._receiver is not None and not self._skipping:
+        """Passes a piece of the body to the receiver."""
+        if self._receiver is not None and not self._discarding:
             self._receiver.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Ends the answer, unless it was an interim or a foreign one."""
+        """Ends the response, unless it is interim or to another request."""
         if self._parser.get_status_code() < 200:
             return
         self._in_body = False
         if not self._parser.should_keep_alive():
             self.reusable = False
-        if self._skipping:
-            self._skipping = False
+        if self._discarding:
+            self._discarding = False
             return
-        self._end()
+        self._complete()
 
-    def _note_keep_alive(self, value: bytes) -> None:
+    def _read_keep_alive(self, value: bytes) -> None:
         for part in value.split(b","):
             part = part.strip().lower()
-            if part.startswith(_KEEP_ALIVE) and part[8:].isdigit():
+            if part.startswith(_TIMEOUT_PARAMETER) and part[8:].isdigit():
                 self.idle_limit_s = float(part[8:])
 
-    def _end(self) -> None:
+    def _complete(self) -> None:
         receiver, self._receiver = self._receiver, None
         self._in_body = False
         if receiver is None:
             return
         self.idle_since = self._loop.time()
-        # A peer that answered early must not take what follows for the rest
-        # of this request.
+        # The peer answered before it had the whole request, so it would read
+        # the next request as the rest of this one.
         transport = self._transport
         if transport is not None and transport.get_write_buffer_size():
             self.reusable = False
         receiver.on_end()
 
-    def _break(self, failure: ResponseFailure) -> None:
+    def _fail(self, failure: ResponseFailure) -> None:
         receiver, self._receiver = self._receiver, None
         self.reusable = False
         if self._transport is not None and not self._lost:
