--- a/pollenfork/gateway/client.py
+++ b/pollenfork/gateway/client.py
@@ -1,4 +1,4 @@
-"""Calls to one address over a kept connection, one at a time."""
+"""An HTTP client for one address, with one persistent connection."""
 
 import asyncio
 
@@ -6,17 +6,18 @@
 from pollenfork.gateway import messages
 from pollenfork.loads import messages as loads
 
-# A connection that will be established takes some milliseconds.
+# Connections that succeed are established within some milliseconds.
 _CONNECT_S = 0.5
 
 Answer = tuple[int, bytes]
 
 
 class ResponseBuffer:
-    """Takes a whole answer.
+    """Buffers a whole response.
 
     Attributes:
-        done: Resolves with status and body; None where the answer broke.
+        done: Resolves with status and body; with None if the response stayed
+            incomplete.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -25,27 +26,27 @@
         self._pieces: list[bytes] = []
 
     def on_head(self, status: int, headers: list[messages.Header]) -> bool:
-        """Takes the status."""
+        """Stores the status."""
         self._status = status
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+        """Buffers a piece of the body."""
         self._pieces.append(data)
 
     def on_end(self) -> None:
-        """Notes that the answer is whole."""
+        """Resolves `done` with the response."""
         if not self.done.done():
             self.done.set_result((self._status, b"".join(self._pieces)))
 
     def on_failure(self, failure: connection.ResponseFailure) -> None:
-        """Notes that no more comes."""
+        """Resolves `done` with None."""
         if not self.done.done():
             self.done.set_result(None)
 
 
 class Client:
-    """Calls one address."""
+    """Sends requests to one address, one at a time."""
 
     def __init__(self, address: loads.Address) -> None:
         self._loop = asyncio.get_running_loop()
@@ -56,24 +57,27 @@
     async def call(
         self, request: bytes, timeout_s: float, before: float | None = None
     ) -> Answer | None:
-        """Returns status and body; None where no whole answer came in time.
+        """Sends a request; returns status and body.
 
         Args:
-            request: The whole request.
-            timeout_s: Seconds until its answer is of no use.
+            request: The request as bytes.
+            timeout_s: Seconds within which the response must be complete.
             before: Monotonic seconds from which on it must not be sent.
+
+        Returns:
+            None if no complete response arrived in time.
         """
         body = ResponseBuffer(self._loop)
         answer = None
         try:
             async with asyncio.timeout(timeout_s) as self._limit:
                 opened = await self._connect()
-                # Looked at last: this process may have stood still.
+                # Checked last, since this process may have been suspended.
                 if before is None or self._loop.time() < before:
                     opened.send(request, body)
                     answer = await body.done
         except (OSError, TimeoutError):
-            pass  # The caller of this decides what no answer means.
+            pass  # The caller decides what a missing response means.
         finally:
             self._limit = None
         if answer is None:
@@ -81,10 +85,10 @@
         return answer
 
     def cancel(self) -> None:
-        """Ends a call under way; it brings no answer.
+        """Cancels the call in progress, which then returns None.
 
-        Also one that still waits for its connection, which takes longest
-        where the address can't be reached.
+        This includes a call that is still connecting, which takes longest if
+        the address can't be reached.
         """
         if self._limit is not None and not self._limit.expired():
             self._limit.reschedule(self._loop.time())
