--- a/pollenfork/gateway/pool.py
+++ b/pollenfork/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to runners, by incarnation."""
+"""Pools persistent connections to runners, by incarnation."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,41 +14,43 @@
 from pollenfork.fleet import registry
 from pollenfork.gateway import connection
 
-# A connection that will be established takes 1 to 3 ms here; one that was
-# dropped from a full queue comes again after a second at the soonest.
+# Connections that succeed are established within 1 to 3 ms. A SYN dropped
+# from a full accept queue is retransmitted after a second at the earliest.
 CONNECT_TIMEOUT_S = 0.3
-# Closing before the peer does keeps requests from crossing its close.
-_PEER_MARGIN_S = 0.7
-_LONGEST_IDLE_S = 8.0
-# A request that must not run twice can't be sent again when its connection
-# turns out to be dead, so it goes on one that was in use just now.
-_SURE_IDLE_S = 0.6
-_IDLE_LIMIT = 16
-# Idle connections of all instances to a runner take this part of those that it
-# accepts: where all lose power at once theirs stay open there, and new ones
-# must fit in beside them.
-_IDLE_PART = 0.4
+# Closing idle connections before the peer does keeps a request from being sent
+# while the peer closes.
+_IDLE_MARGIN_S = 0.7
+_MAX_IDLE_S = 8.0
+# A request that must not run twice can't be resent when its connection turns
+# out to be dead, so it uses only connections that were in use this recently.
+_RECENT_IDLE_S = 0.6
+_MAX_IDLE = 16
+# Share of the connections accepted by a runner that the idle connections of all
+# instances may take. If all instances lose power at once, their old connections
+# stay open at the runner, and the new ones must fit beside them.
+_IDLE_SHARE = 0.4
 
 
 class Unreachable(failures.Failure, frozen=True, kw_only=True):
-    """No connection could be made; nothing was sent.
+    """No connection could be established; nothing was sent.
 
     Attributes:
-        nobody: Whether the host said that nobody listens there.
+        connection_refused: Whether the host refused the connection, so that no
+            process listens there.
     """
 
     connection_refused: bool = False
 
 
 class Freshness(enum.Enum):
-    """How sure a kept connection must be to be used."""
+    """How recently an idle connection must have been in use."""
 
     ANY = "any"
     RECENT = "sure"
 
 
 class PoolCounters(msgspec.Struct):
-    """What the pool counts."""
+    """Counts of connections."""
 
     opened: int = 0
     reused: int = 0
@@ -56,53 +58,53 @@
 
 
 class Pool:
-    """Hands out connections, newest first, and closes those left over."""
+    """Hands out connections, the newest first, and closes surplus ones."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        wall: Callable[[], float] = time.time,
+        unix_time: Callable[[], float] = time.time,
     ) -> None:
-        """Starts with none.
+        """Creates an empty pool.
 
         Args:
-            loop: Its clock tells how long a connection was idle.
-            wall: Returns the time of day, which runners' starts are told in.
+            loop: Its clock measures how long a connection was idle.
+            unix_time: Returns the Unix time; runners' starts are given in it.
         """
         self._loop = loop
-        self._wall = wall
+        self._unix_time = unix_time
         self._idle: dict[fleet.Incarnation, list[connection.Connection]] = {}
         self._limits: dict[ids.ServiceName, int] = {}
         self._busy: dict[ids.EndpointId, set[connection.Connection]] = {}
         self.counters = PoolCounters()
 
     def watch_registry(self, runners: registry.Registry) -> None:
-        """Lets go of what is kept or under way at runners that end."""
+        """Closes connections to runners that are removed or restarted."""
         runners.when_gone(self.close_idle)
         runners.when_restarted(self.fail_stale)
 
     def set_accepted(
         self, service: ids.ServiceName, accepted: int, instances: int
     ) -> None:
-        """Takes how many connections a runner accepts, and from how many.
+        """Sets the idle limit from the connections that a runner accepts.
 
         Args:
-            service: The runner's.
-            accepted: Connections that it accepts in all; 0: unknown.
-            instances: Instances that connect to it.
+            service: The service of the runners.
+            accepted: Connections that each runner accepts in all; 0: unknown.
+            instances: Number of instances that connect to it.
         """
         if accepted:
-            part = int(accepted * _IDLE_PART / instances)
-            self._limits[service] = max(1, min(_IDLE_LIMIT, part))
+            part = int(accepted * _IDLE_SHARE / instances)
+            self._limits[service] = max(1, min(_MAX_IDLE, part))
 
     def acquire(
-        self, runner: fleet.Runner, care: Freshness
+        self, runner: fleet.Runner, freshness: Freshness
     ) -> connection.Connection | None:
-        """Returns a kept connection that is fit for use."""
+        """Returns an idle connection that may be used, if there is one."""
         kept = self._idle.get(runner.incarnation)
         while kept:
             found = kept.pop()
-            if self._is_fit(found, care):
+            if self._is_usable(found, freshness):
                 self.counters.reused += 1
                 return found
             found.abort()
@@ -114,11 +116,11 @@
         left_s: float,
         limit_s: float = CONNECT_TIMEOUT_S,
     ) -> result.Result[connection.Connection, Unreachable]:
-        """Returns a new connection.
+        """Opens a connection.
 
         Args:
-            runner: Where to.
-            left_s: Seconds that the request has left.
+            runner: The runner to connect to.
+            left_s: Seconds left to the request.
             limit_s: Seconds that connecting may take.
         """
         self.counters.opened += 1
@@ -137,22 +139,22 @@
                 Unreachable(detail=detail, connection_refused=refused)
             )
         opened.idle_since = opened.connected_at = self._loop.time()
-        opened.connected_at_unix = self._wall()
+        opened.connected_at_unix = self._unix_time()
         return result.Ok(opened)
 
     def release(
         self, runner: fleet.Runner, used: connection.Connection
     ) -> None:
-        """Keeps a connection for the next request, if it may have one."""
+        """Returns a connection to the pool, or closes it."""
         kept = self._idle.setdefault(runner.incarnation, [])
-        limit = self._limits.get(runner.service, _IDLE_LIMIT)
+        limit = self._limits.get(runner.service, _MAX_IDLE)
         if not used.usable or len(kept) >= limit:
             used.abort()
             return
         kept.append(used)
 
     def close_idle(self, runner: ids.EndpointId) -> None:
-        """Closes what is kept for a runner."""
+        """Closes the idle connections to a runner."""
         for incarnation in [each for each in self._idle if each.id == runner]:
             for kept in self._idle.pop(incarnation):
                 kept.abort()
@@ -160,24 +162,25 @@
     def mark_busy(
         self, runner: fleet.Runner, used: connection.Connection
     ) -> None:
-        """Notes that an exchange begins on a connection."""
+        """Registers the start of an exchange on a connection."""
         self._busy.setdefault(runner.id, set()).add(used)
 
     def mark_done(
         self, runner: fleet.Runner, used: connection.Connection
     ) -> None:
-        """Notes that the exchange on a connection has ended."""
+        """Registers the end of the exchange on a connection."""
         busy = self._busy.get(runner.id, set())
         busy.discard(used)
         if not busy:
             self._busy.pop(runner.id, None)
 
     def fail_stale(self, runner: fleet.Runner) -> None:
-        """Ends the exchanges with what a runner was before its last start.
+        """Fails the exchanges on connections from before a runner's restart.
 
-        Whoever waits there is told at once. A connection opened since then is
-        to the one that runs now. The two clocks may differ by milliseconds,
-        and a runner listens some hundred after its start.
+        Their receivers are notified at once. Connections opened since then are
+        to the current process. The clocks of the two machines may differ by
+        milliseconds, and a runner listens some hundred milliseconds after its
+        start.
         """
         if runner.start is None:
             return
@@ -187,25 +190,29 @@
                 used.fail()
 
     def close_expired(self) -> None:
-        """Closes what has been idle for too long."""
+        """Closes connections that have been idle for too long."""
         for kept in self._idle.values():
-            fit = [each for each in kept if self._is_fit(each, Freshness.ANY)]
+            usable = [
+                each for each in kept if self._is_usable(each, Freshness.ANY)
+            ]
             for each in kept:
-                if each not in fit:
+                if each not in usable:
                     each.abort()
-            kept[:] = fit
+            kept[:] = usable
 
     def close(self) -> None:
-        """Closes everything."""
+        """Closes all idle connections."""
         for runner in {each.id for each in self._idle}:
             self.close_idle(runner)
 
-    def _is_fit(self, found: connection.Connection, care: Freshness) -> bool:
+    def _is_usable(
+        self, found: connection.Connection, freshness: Freshness
+    ) -> bool:
         if not found.usable:
             return False
-        limit_s = _LONGEST_IDLE_S
+        limit_s = _MAX_IDLE_S
         if found.idle_limit_s is not None:
-            limit_s = min(limit_s, found.idle_limit_s - _PEER_MARGIN_S)
-        if care is Freshness.RECENT:
-            limit_s = min(limit_s, _SURE_IDLE_S)
+            limit_s = min(limit_s, found.idle_limit_s - _IDLE_MARGIN_S)
+        if freshness is Freshness.RECENT:
+            limit_s = min(limit_s, _RECENT_IDLE_S)
         return self._loop.time() - found.idle_since < limit_s
