--- a/pollenfork/gateway/events.py
+++ b/pollenfork/gateway/events.py
@@ -1,23 +1,24 @@
-"""Cuts a stream into whole events, each passed on once and in order."""
+"""Splits a server-sent event stream into events, each forwarded once."""
 
 import re
 
 _END = re.compile(rb"\r?\n\r?\n")
 _POSITION = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
-# An event holds a few tokens; one that never ends must not fill the memory.
-_LARGEST = 1 << 20
+# Events hold a few tokens. The limit keeps an unterminated event from
+# exhausting the memory.
+_MAX_EVENT_BYTES = 1 << 20
 
 
 class StreamError(Exception):
-    """The stream left events out, or an event doesn't end."""
+    """The stream skipped events, or an event exceeds the size limit."""
 
 
 class EventSplitter:
-    """Takes reads of any size, gives whole events.
+    """Turns reads of any size into complete events, in order.
 
     Attributes:
-        last: The position of the last event passed on; None before the first.
-        passed: Events passed on.
+        last: The position of the last event forwarded; None before the first.
+        forwarded: Number of events forwarded.
     """
 
     def __init__(self) -> None:
@@ -27,18 +28,18 @@
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """Whether an incomplete event is buffered."""
         return bool(self._tail)
 
     def restart(self) -> None:
-        """Goes on with the stream of another run, after what was passed on."""
+        """Continues with the stream of another run, after the last event."""
         self._tail = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Returns what can be passed on.
+        """Returns the events to forward after a read.
 
         Raises:
-            Gap: An event is missing or too large.
+            StreamError: An event is missing or too large.
         """
         data = self._tail + data
         whole = []
@@ -46,14 +47,15 @@
         for match in _END.finditer(data):
             event = data[start : match.end()]
             start = match.end()
-            if self._admit(event):
+            if self._is_new(event):
                 whole.append(event)
         self._tail = data[start:]
-        if len(self._tail) > _LARGEST:
+        if len(self._tail) > _MAX_EVENT_BYTES:
             raise StreamError
         return b"".join(whole)
 
-    def _admit(self, event: bytes) -> bool:
+    def _is_new(self, event: bytes) -> bool:
+        """Returns whether to forward an event; counts it if so."""
         found = _POSITION.search(event)
         if found is not None:
             position = int(found.group(1))
