--- a/pollenfork/gateway/context.py
+++ b/pollenfork/gateway/context.py
@@ -1,4 +1,4 @@
-"""What an exchange is given: the request admitted, and the shared tools."""
+"""Inputs of an exchange: the admitted request and shared dependencies."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,17 +29,17 @@
 
     Attributes:
         call: The request.
-        head: What its headers say.
+        head: Values decoded from its headers.
         route: Its route.
-        demand: What it asks of a runner of the service chosen for it.
+        demand: What it needs from a runner of the service chosen for it.
         prefill_limit_s: Seconds within which its prompt must be processed;
             beyond that the request is refused; None: no limit.
-        account: The client account, where it showed a key.
-        tier: Its urgency.
+        account: The client account, if the request has a key.
+        tier: Its priority tier; lower is more urgent.
         version: The version of the configuration that admitted it.
-        age_s: Seconds for which that version wasn't known to be the newest.
-        deadline: Monotonic seconds at which its answer is of no use.
-        digest: What tells the same request when it comes again.
+        age_s: Seconds since that version was last confirmed to be the newest.
+        deadline: Monotonic seconds from which on its answer is useless.
+        digest: Identifies the same request when it is sent again.
     """
 
     call: messages.Request
@@ -56,13 +56,13 @@
 
 
 class Dependencies(msgspec.Struct, frozen=True):
-    """What all exchanges share.
+    """Dependencies that all exchanges share.
 
     Attributes:
-        record_started: Counts a request of an account that began to run.
-        claim_trial: Returns whether a request that is kept back may run once.
-        read_loads_age: Returns how old others' loads are, in seconds; None
-            where there are none.
+        record_started: Counts a request of an account that started to run.
+        claim_trial: Returns whether a quarantined request may run once.
+        read_loads_age: Returns the age of the other instances' loads in
+            seconds; None if there are none.
     """
 
     loop: asyncio.AbstractEventLoop
--- a/pollenfork/gateway/messages.py
+++ b/pollenfork/gateway/messages.py
@@ -1,4 +1,4 @@
-"""The gateway's requests and answers, free of any one wire format."""
+"""Requests and responses of the gateway, independent of a wire format."""
 
 import msgspec
 
@@ -9,15 +9,15 @@
 
 
 class RequestHead(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller's headers say of its request.
+    """Values decoded from the headers of a caller's request.
 
     Attributes:
-        attempt: The caller's id for this attempt; empty where it gave none.
-        key: The key it shows.
-        wait_s: How long it will wait in seconds; None where it doesn't say.
-        parts: The prompt's parts in order; the last is its own.
-        tokens: The prompt's tokens, and the most that the answer may have.
-        last_event: The position of the last event that it has of a stream.
+        attempt: The caller's id of this attempt; empty if it sent none.
+        key: The API key.
+        wait_s: Seconds for which the caller waits; None if it doesn't say.
+        parts: The prompt's parts in order; only the last isn't shared.
+        tokens: Tokens of the prompt, and the maximum for the answer.
+        last_event: Position of the last event that the caller has received.
     """
 
     attempt: ids.AttemptId
@@ -29,14 +29,14 @@
 
 
 class Request(msgspec.Struct, kw_only=True):
-    """A caller's request, whole.
+    """A complete request from a caller.
 
     Attributes:
         method: The HTTP method.
         target: The path with its query, as sent.
         headers: All headers, names in lower case.
-        body: The body, without any framing.
-        arrived: Monotonic seconds at its first byte.
+        body: The body, without transfer encoding.
+        arrived: Monotonic seconds at which its first byte arrived.
     """
 
     method: bytes
@@ -47,14 +47,14 @@
 
 
 class ForwardContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What the gateway adds to a request for one attempt.
+    """Values that the gateway adds to a request for one attempt.
 
     Attributes:
-        runner: The only runner that may take it.
-        remaining_s: Seconds until the answer is of no use.
-        account: The client account, where the request showed a key.
-        tier: Its urgency at a model runner; None elsewhere.
-        last_event: The position after which a stream goes on.
+        runner: The only runner that may accept it.
+        remaining_s: Seconds until the deadline.
+        account: The client account, if the request has a key.
+        tier: Its priority tier at a model runner; None elsewhere.
+        last_event: The position after which a stream resumes.
         source: A runner from which shared parts of the prompt are copied.
     """
 
@@ -71,14 +71,15 @@
 
     Attributes:
         status: The HTTP status.
-        attempt: The attempt that it answers.
-        sealed: Whether a runner vouches for the answer.
-        not_run: Whether the runner says that it didn't run the request.
-        displaced: Whether another runner than the one asked answers there.
-        events: Whether the body is a stream of events.
+        attempt: The id of the attempt that it answers.
+        sealed: Whether the answer carries a runner's seal.
+        not_run: Whether the runner states that it didn't run the request.
+        displaced: Whether another runner than the intended one answered at the
+            address.
+        events: Whether the body is an event stream.
         headers: All headers, names in lower case.
-        rates: Requests a second that the runner says it takes from all
-            instances together, each as named; None for what is no number.
+        rates: The rate limits that the runner announces, in requests a second
+            from all instances together; None for a value that isn't a number.
     """
 
     status: int
