--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may be served, and as what."""
+"""Decides whether a request is admitted, and under which route and account."""
 
 import result
 
@@ -15,8 +15,8 @@
 _Reason = replies.Reason
 Refusal = replies.Refusal
 
-# A caller turned away by one instance usually finds another that can serve.
-_ELSEWHERE_S = 0.1
+# A caller refused by one instance usually finds another that can serve it.
+_RETRY_AFTER_S = 0.1
 
 
 def admit(
@@ -25,12 +25,12 @@
     head: messages.RequestHead,
     now: float,
 ) -> result.Result[context.AdmittedRequest, replies.Refusal]:
-    """Finds a request's route, account, service and time.
+    """Determines a request's route, account, service and deadline.
 
     Args:
-        known: What is known of the configuration.
+        known: The instance's view of the configuration.
         call: The request.
-        head: What its headers say.
+        head: Values decoded from its headers.
         now: Monotonic seconds.
     """
     found = known.lookup
@@ -93,7 +93,7 @@
 
 
 def find_host(call: messages.Request) -> str:
-    """Returns the host that a request names; empty where it names none."""
+    """Returns the value of the host header, or an empty string."""
     for name, value in call.headers:
         if name == b"host":
             return value.decode("latin-1")
@@ -108,5 +108,5 @@
 def _refuse(
     status: int, reason: _Reason
 ) -> result.Result[context.AdmittedRequest, replies.Refusal]:
-    retry_after_s = _ELSEWHERE_S if status == 503 else None
+    retry_after_s = _RETRY_AFTER_S if status == 503 else None
     return result.Err(Refusal(status, reason, retry_after_s))
--- a/pollenfork/gateway/replies.py
+++ b/pollenfork/gateway/replies.py
@@ -1,4 +1,4 @@
-"""The gateway's own answers."""
+"""Responses that the gateway itself generates."""
 
 import enum
 import http
@@ -9,7 +9,7 @@
 
 
 class Reason(enum.Enum):
-    """Why the gateway answers itself."""
+    """Why the gateway refuses a request."""
 
     NO_SETTINGS = "no_settings"
     SETTINGS_STALE = "settings_stale"
@@ -30,12 +30,12 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A final answer of the gateway.
+    """A final error response of the gateway.
 
     Attributes:
         status: 429, 503, 408 and 421 promise that the request hasn't run.
-        reason: Why.
-        retry_after_s: When to come back, in seconds; None: no use in it.
+        reason: The reason, sent in the body.
+        retry_after_s: Seconds after which to retry; None: retrying is useless.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
 
 def write_refusal(refusal: Refusal, closing: bool) -> bytes:
-    """Returns the answer as HTTP."""
+    """Returns a refusal as an HTTP response."""
     body = msgspec.json.encode({"error": refusal.reason.value})
     extra = b""
     if refusal.retry_after_s is not None:
@@ -53,23 +53,23 @@
 
 
 def write_fault(status: int, reason: str) -> bytes:
-    """Returns the answer to bytes that are no proper request."""
+    """Returns the response to bytes that aren't a valid request."""
     body = msgspec.json.encode({"error": reason})
     return _write(status, body, b"", closing=True)
 
 
 def write_text(status: int, body: bytes, closing: bool = False) -> bytes:
-    """Returns a plain answer to a readiness check or a metrics scrape."""
+    """Returns a plain-text response to a readiness check or a scrape."""
     return _write(status, body, b"", closing, b"text/plain; charset=utf-8")
 
 
 def write_document(body: bytes) -> bytes:
-    """Returns JSON for an operator."""
+    """Returns a JSON response for an operator."""
     return _write(200, body, b"", False)
 
 
 def write_table(body: bytes) -> bytes:
-    """Returns a table for another instance."""
+    """Returns a response with a table for another instance."""
     return _write(200, body, b"", False, b"application/octet-stream")
 
 
