--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -1,4 +1,4 @@
-"""What the gateway needs from whoever speaks the wire format."""
+"""Protocols of the wire formats that the gateway depends on."""
 
 from typing import Protocol
 
@@ -16,68 +16,68 @@
 
 
 class Codec(Protocol):
-    """Decodes and encodes heads."""
+    """Decodes and encodes request and response heads."""
 
     def find_duplicate(self, headers: list[messages.Header]) -> bytes | None:
-        """Returns a header that may stand once and stands more often."""
+        """Returns the name of a single-valued header that occurs repeatedly."""
 
     def decode_request(
         self, headers: list[messages.Header]
     ) -> messages.RequestHead:
-        """Decodes what a caller's headers say."""
+        """Decodes a caller's request headers."""
 
     def encode_request(
         self, call: messages.Request, sending: messages.ForwardContext
     ) -> bytes:
-        """Returns the request as a runner gets it."""
+        """Encodes a request for a runner."""
 
     def decode_response(
         self, status: int, headers: list[messages.Header]
     ) -> messages.ResponseHead:
-        """Decodes a runner's head."""
+        """Decodes a runner's response head."""
 
     def encode_response(
         self, head: messages.ResponseHead, length: int | None, closing: bool
     ) -> bytes:
-        """Returns a runner's head as the caller gets it."""
+        """Encodes a runner's response head for the caller."""
 
     def is_ready_check(self, target: bytes) -> bool:
-        """Returns whether the balancer asks if this instance is ready."""
+        """Returns whether a target is that of the load balancer's check."""
 
 
 class CacheCodec(Protocol):
-    """Decodes and encodes runners' calls about what they keep of prompts."""
+    """Decodes and encodes requests for the contents of runners' KV caches."""
 
     def write_feed_ask(
         self, runner: fleet.Runner, after: int, wait_s: float
     ) -> bytes:
-        """Returns the request for the changes after one, as they come."""
+        """Returns the long-poll request for changes after a sequence number."""
 
     def write_list_ask(self, runner: fleet.Runner) -> bytes:
-        """Returns the request for all parts kept."""
+        """Returns the request for all cached parts."""
 
     def read_feed(
         self, status: int, body: bytes
     ) -> result.Result[fleet_messages.CacheNews, failures.Failure]:
-        """Decodes the answer to the first."""
+        """Decodes the response to `write_feed_ask`."""
 
     def read_list(
         self, status: int, body: bytes
     ) -> result.Result[fleet_messages.CacheNews, failures.Failure]:
-        """Decodes the answer to the second."""
+        """Decodes the response to `write_list_ask`."""
 
 
 class Store(Protocol):
-    """Decodes and encodes the store's calls."""
+    """Decodes and encodes calls to the store."""
 
     def write_configuration_ask(self, ask: catalogue.Ask) -> bytes:
-        """Returns the request that follows the configuration."""
+        """Returns the request that watches the configuration."""
 
     def write_runners_ask(self, ask: catalogue.Ask) -> bytes:
-        """Returns the request that follows the registry."""
+        """Returns the request that watches the registry of runners."""
 
     def write_range_ask(self, table: changes.Table, start: str) -> bytes:
-        """Returns the request for the rows of a table, from a key on."""
+        """Returns the request for the rows of a table, starting at a key."""
 
     def write_change(self, change: changes.Change) -> bytes:
         """Returns the request that writes and removes rows."""
@@ -85,17 +85,17 @@
     def read_changed(
         self, status: int, body: bytes
     ) -> result.Result[int, changes.Trouble]:
-        """Decodes the answer to that: the version of the rows written."""
+        """Decodes the response to a change: the version of the rows written."""
 
     def read_rows(
         self, status: int, body: bytes
     ) -> result.Result[catalogue.Rows, catalogue.Trouble]:
-        """Decodes the answer to any that reads."""
+        """Decodes the response to any read."""
 
     def read_configuration(
         self, row: catalogue.Row
     ) -> result.Result[routes.Configuration, failures.Failure] | None:
-        """Decodes a row; None where it isn't the configuration."""
+        """Decodes a row; returns None if it isn't the configuration."""
 
     def read_runner(
         self, row: catalogue.Row
@@ -104,10 +104,10 @@
 
 
 class Cloud(Protocol):
-    """Encodes the calls to the platform that one instance at a time makes."""
+    """Encodes calls to the platform, which one instance at a time makes."""
 
     def write(self, task: duties.Task) -> bytes:
-        """Returns the request that tells or orders something."""
+        """Returns the request that reports usage or orders runners."""
 
     def read(self, status: int) -> duties.Reply:
-        """Decodes the status of an answer."""
+        """Decodes the status of a response."""
--- a/pollenfork/gateway/eventloop.py
+++ b/pollenfork/gateway/eventloop.py
@@ -1,4 +1,4 @@
-"""The event loop of a gateway, whose time counts suspension."""
+"""The event loop of a gateway, whose clock includes time spent suspended."""
 
 import asyncio
 
@@ -6,15 +6,16 @@
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """Reads a clock that goes on while the machine is suspended.
+    """Uses a clock that advances while the machine is suspended.
 
-    Every age of the gateway goes by this time: of proofs, rows, loads, ends of
-    runners, of keys and of callers' deadlines. On the steady clock a proof from
-    before a suspension of 5 s would seem 5 s younger than it is, and keys taken
-    away meanwhile would be trusted. Timers that fall due in a suspension run
-    as it ends, as after a freeze; what has arrived by then is read first.
+    All ages and deadlines of the gateway use this clock: those of proofs, rows,
+    loads, crashes, keys and callers' requests. With the ordinary monotonic
+    clock, a proof from before a suspension of 5 s would seem 5 s younger than
+    it is, and keys revoked meanwhile would be trusted. Timers that expire
+    during a suspension fire when it ends, as after a freeze; data that has
+    arrived by then is read first.
     """
 
     def time(self) -> float:
-        """Returns seconds since the machine started, suspension included."""
+        """Returns seconds since the machine booted, including suspensions."""
         return clock.read_boottime()
