--- a/pollenfork/gateway/selection.py
+++ b/pollenfork/gateway/selection.py
@@ -1,57 +1,57 @@
-"""Finds the runner for each attempt of one request."""
+"""Selects the runner for each attempt of a request."""
 
 from pollenfork import ids
 from pollenfork.fleet import outcomes
 from pollenfork.gateway import context
 
-# Limited runners that a request asks for a permit at most.
-_LARGEST_SEARCH = 16
+# Maximum number of rate-limited runners for which a request seeks a permit.
+_MAX_PERMIT_REQUESTS = 16
 
 
 class RunnerSelector:
-    """Chooses a runner, and gets leave to send there where it is limited.
+    """Chooses a runner, and acquires a permit if the runner is rate-limited.
 
     Attributes:
-        avoid: Runners that the request has been at.
+        tried: Runners to which the request has been sent.
     """
 
     def __init__(
-        self, tools: context.Dependencies, admitted: context.AdmittedRequest
+        self, deps: context.Dependencies, admitted: context.AdmittedRequest
     ) -> None:
-        """Starts with all runners.
+        """Creates a selector that has tried no runner.
 
         Args:
-            tools: What all exchanges share.
+            deps: Dependencies that all exchanges share.
             admitted: The request.
         """
-        self._tools = tools
+        self._deps = deps
         self._admitted = admitted
         self.tried: set[ids.EndpointId] = set()
 
-    async def find(self, suspect: bool, searched: bool) -> outcomes.Outcome:
-        """Returns a runner that takes the request now, or why none does.
+    async def find(self, suspect: bool, is_retry: bool) -> outcomes.Outcome:
+        """Returns a grant for a runner, or the reason why there is none.
 
         Args:
-            suspect: Whether runners have ended under the request.
-            searched: Whether it has been sent to a runner before.
+            suspect: Whether runners have crashed while running the request.
+            is_retry: Whether the request has been sent to a runner before.
         """
         limited = outcomes.Limited(0.0, 0.0)
-        for _ in range(_LARGEST_SEARCH):
-            if self._tools.loop.time() >= self._admitted.deadline:
+        for _ in range(_MAX_PERMIT_REQUESTS):
+            if self._deps.loop.time() >= self._admitted.deadline:
                 return limited
-            found = self._choose(suspect, searched)
+            found = self._choose(suspect, is_retry)
             if await self._is_final(found):
                 return found
         return limited
 
     def record_admission(self) -> None:
-        """Notes that the request was taken on in the usual way."""
+        """Records that the request was admitted without load shedding."""
         service = self._admitted.demand.service
-        self._tools.shed_streaks.reset(service, self._admitted.route.tier)
+        self._deps.shed_streaks.reset(service, self._admitted.route.tier)
 
     async def _is_final(self, found: outcomes.Outcome) -> bool:
-        """Returns whether a choice stands, or is to be made once more."""
-        permits = self._tools.permits
+        """Returns whether an outcome is final; otherwise choose again."""
+        permits = self._deps.permits
         match found:
             case outcomes.Grant(limited=True):
                 return await self._acquire(found)
@@ -63,11 +63,11 @@
         return True
 
     async def _acquire(self, grant: outcomes.Grant) -> bool:
-        """Returns whether the request may be sent to a limited runner."""
-        chooser = self._tools.chooser
+        """Returns whether a permit for a rate-limited runner was granted."""
+        chooser = self._deps.chooser
         granted = False
         try:
-            granted = await self._tools.permits.acquire(
+            granted = await self._deps.permits.acquire(
                 grant, self._admitted.tier
             )
         finally:
@@ -77,14 +77,17 @@
             chooser.confirm(grant, self._admitted.demand)
         return granted
 
-    def _choose(self, suspect: bool, searched: bool) -> outcomes.Outcome:
+    def _choose(self, suspect: bool, is_retry: bool) -> outcomes.Outcome:
         if suspect:
             return self._find_runner(None, self._admitted.digest)
-        # Whoever was let in is not turned away for what came after it.
-        if searched:
+        # An admitted request isn't shed because of load that arrived later.
+        if is_retry:
             return self._find_runner(longest_s=None)
         found = self._find_runner(self._admitted.prefill_limit_s)
-        if isinstance(found, outcomes.Overloaded) and self._exceeds_refusals():
+        if (
+            isinstance(found, outcomes.Overloaded)
+            and self._is_admitted_anyway()
+        ):
             return self._find_runner(longest_s=None)
         return found
 
@@ -93,14 +96,14 @@
         longest_s: float | None,
         suspect: ids.RequestDigest | None = None,
     ) -> outcomes.Outcome:
-        now = self._tools.loop.time()
-        return self._tools.chooser.choose(
+        now = self._deps.loop.time()
+        return self._deps.chooser.choose(
             self._admitted.demand, self.tried, now, longest_s, suspect
         )
 
-    def _exceeds_refusals(self) -> bool:
-        """Returns whether a request that would be late is taken on."""
+    def _is_admitted_anyway(self) -> bool:
+        """Returns whether a request that would be shed is admitted anyway."""
         service = self._admitted.demand.service
-        return self._tools.shed_streaks.admit_after_refusals(
+        return self._deps.shed_streaks.admit_after_refusals(
             service, self._admitted.route.tier
         )
