--- a/pollenfork/gateway/retries.py
+++ b/pollenfork/gateway/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether a request goes to a further runner after an attempt."""
+"""Decides whether a request is retried at another runner."""
 
 from collections.abc import Callable
 import enum
@@ -11,14 +11,14 @@
 
 End = messages.End
 
-# Runners that could not be reached don't count as attempts, but the search
-# for one that can must end.
-_LARGEST_SEARCH = 4
+# Unreachable runners don't count as attempts, but the number of runners that
+# are tried must be bounded.
+_MAX_RUNNERS_TRIED = 4
 _SERVER_ERROR = 500
 
 
 class RetryDecision(enum.Enum):
-    """What follows an attempt: the answer, another attempt, or why neither."""
+    """The step after an attempt: an answer, a retry, or why there is none."""
 
     ANSWERED = "answered"
     RETRIED = "repeated"
@@ -33,28 +33,28 @@
     """The attempts of one request so far.
 
     Attributes:
-        sent: Runners that it was sent to and that were there.
-        runners_tried: Runners that were tried, reached or not.
-        may_have_run: Whether one of them may have run it.
+        sent: Attempts that were sent and that reached the intended runner.
+        runners_tried: Runners that were tried, reachable or not.
+        may_have_run: Whether one of them may have run the request.
     """
 
     sent: int = 0
     runners_tried: int = 0
     may_have_run: bool = False
 
-    def note(self, ended: attempt.AttemptResult) -> None:
-        """Takes the end of an attempt."""
+    def record(self, ended: attempt.AttemptResult) -> None:
+        """Records the result of an attempt."""
         self.runners_tried += 1
         if ended.end is End.DISPLACED:
-            # The runner that was meant is gone and never got it; who answered
-            # at its address doesn't count against the route's attempts.
+            # The intended runner is gone and never received the request. The
+            # one that answered at its address doesn't count as an attempt.
             self.sent -= 1
         if is_error(ended) or ended.end in (End.BROKEN, End.SILENT):
             self.may_have_run = True
 
 
 def is_error(ended: attempt.AttemptResult) -> bool:
-    """Returns whether a whole answer is the runner's own failure."""
+    """Returns whether a complete answer is a server error of the runner."""
     return (
         ended.end is End.WHOLE
         and ended.head is not None
@@ -63,7 +63,7 @@
 
 
 def may_retry(route: routes.Route, history: AttemptHistory) -> bool:
-    """Returns whether the route lets a request that may have run go on."""
+    """Returns whether a request that may have run may be retried."""
     return route.idempotent and history.sent < route.attempts
 
 
@@ -74,14 +74,14 @@
     left_s: float,
     take_retry: Callable[[], bool],
 ) -> RetryDecision:
-    """Returns what follows an attempt.
+    """Returns the step after an attempt.
 
     Args:
-        ended: How it ended.
+        ended: The result of the attempt.
         route: The request's route.
-        history: Its attempts, this one included.
-        left_s: Seconds until the answer is of no use.
-        take_retry: Takes a repeat from the budget; asked last.
+        history: Its attempts, including this one.
+        left_s: Seconds until the request's deadline.
+        take_retry: Takes a retry from the budget; called last.
     """
     if ended.end is End.WHOLE and not is_error(ended):
         return RetryDecision.ANSWERED
@@ -89,11 +89,11 @@
         return RetryDecision.NOT_IDEMPOTENT
     if history.sent >= route.attempts:
         return RetryDecision.ATTEMPTS_SPENT
-    if history.runners_tried >= _LARGEST_SEARCH:
+    if history.runners_tried >= _MAX_RUNNERS_TRIED:
         return RetryDecision.RUNNERS_EXHAUSTED
     if left_s <= 0:
         return RetryDecision.NO_TIME
-    # What was never sent is not a repeat.
+    # A request that was never sent isn't a retry.
     if ended.end is not End.UNSENT and not take_retry():
         return RetryDecision.BUDGET_SPENT
     return RetryDecision.RETRIED
--- a/pollenfork/gateway/tests/test_retries.py
+++ b/pollenfork/gateway/tests/test_retries.py
@@ -28,8 +28,8 @@
 
 
 def decide(route, ended, *, sent=1, runners_tried=1, left_s=1.0, budget=True):
-    course = retries.AttemptHistory(sent, runners_tried)
-    return retries.decide(ended, route, course, left_s, lambda: budget)
+    history = retries.AttemptHistory(sent, runners_tried)
+    return retries.decide(ended, route, history, left_s, lambda: budget)
 
 
 @pytest.mark.parametrize(
@@ -75,31 +75,31 @@
 
 
 def test_a_course_remembers_what_may_have_run() -> None:
-    course = retries.AttemptHistory()
+    history = retries.AttemptHistory()
     for end in (End.UNSENT, End.REFUSED, End.DISPLACED):
-        course.note(make_ended(end))
-        assert not course.may_have_run
-    course.note(make_ended(End.SILENT))
-    course.note(make_ended(End.REFUSED))
-    assert course.may_have_run
-    assert course.runners_tried == 5
+        history.record(make_ended(end))
+        assert not history.may_have_run
+    history.record(make_ended(End.SILENT))
+    history.record(make_ended(End.REFUSED))
+    assert history.may_have_run
+    assert history.runners_tried == 5
 
 
 def test_a_send_that_met_another_runner_spends_no_attempt() -> None:
     single = support.make_route(model.Kind.AT_MOST_ONCE, attempts=1)
-    course = retries.AttemptHistory(sent=1)
+    history = retries.AttemptHistory(sent=1)
     displaced = make_ended(End.DISPLACED)
-    course.note(displaced)
-    sequel = retries.decide(displaced, single, course, 1.0, lambda: True)
+    history.record(displaced)
+    sequel = retries.decide(displaced, single, history, 1.0, lambda: True)
     assert sequel is Sequel.RETRIED
-    assert not course.may_have_run
+    assert not history.may_have_run
 
 
 def test_the_search_past_displaced_runners_ends() -> None:
-    course = retries.AttemptHistory()
+    history = retries.AttemptHistory()
     displaced = make_ended(End.DISPLACED)
     for _ in range(4):
-        course.sent += 1
-        course.note(displaced)
-    sequel = retries.decide(displaced, ONCE, course, 1.0, lambda: True)
+        history.sent += 1
+        history.record(displaced)
+    sequel = retries.decide(displaced, ONCE, history, 1.0, lambda: True)
     assert sequel is Sequel.RUNNERS_EXHAUSTED
