--- a/pollenfork/gateway/timeouts.py
+++ b/pollenfork/gateway/timeouts.py
@@ -1,4 +1,4 @@
-"""How long an attempt may stay silent before something is done about it."""
+"""Timeouts after which an attempt is abandoned."""
 
 import asyncio
 from typing import Self
@@ -9,22 +9,22 @@
 from pollenfork.gateway import attempt
 from pollenfork.gateway import context
 
-# A runner that has not answered after this many targets is held to be dark or
-# overloaded, and a request that may run twice goes to another. Half of the
-# answers are there within a third of their target.
+# A runner that hasn't responded after this many latency targets is considered
+# unreachable or overloaded, and a request that may run twice is retried
+# elsewhere. Half of the answers arrive within a third of their target.
 _FIRST_RESPONSE_FACTOR = 2.0
-_SHORTEST_S = 0.3
-# A pause in a stream this many times longer than the longest in time.
+_MIN_FIRST_RESPONSE_S = 0.3
+# The same for a gap between events, in multiples of the route's gap target.
 _GAP_FACTOR = 3.0
-_SHORTEST_GAP_S = 0.8
+_MIN_GAP_S = 0.8
 
 
 class AttemptTimeouts(msgspec.Struct, frozen=True):
-    """Limits on one attempt.
+    """Timeouts of one attempt.
 
     Attributes:
-        deadline: Monotonic seconds at which the answer is of no use.
-        first_s: Seconds to the first sign of an answer; None: no limit.
+        deadline: Monotonic seconds from which on the answer is useless.
+        first_s: Seconds to the first response data; None: no limit.
         gap_s: Seconds between events; None: no limit.
     """
 
@@ -37,27 +37,30 @@
         cls,
         admitted: context.AdmittedRequest,
         expected_s: float,
-        may_repeat: bool,
+        may_retry: bool,
     ) -> Self:
-        """Returns the limits of a request's next attempt.
+        """Returns the timeouts of a request's next attempt.
 
         Args:
             admitted: The request.
-            expected_s: Seconds after which the answer is expected to begin.
-            may_repeat: Whether giving up early helps: it may run again.
+            expected_s: Seconds after which the answer is expected to start.
+            may_retry: Whether the request may be retried; if not, abandoning
+                the attempt early doesn't help.
         """
         route = admitted.route
-        if not may_repeat:
+        if not may_retry:
             return cls(admitted.deadline)
-        first_s = max(_SHORTEST_S, route.target_s * _FIRST_RESPONSE_FACTOR)
+        first_s = max(
+            _MIN_FIRST_RESPONSE_S, route.target_s * _FIRST_RESPONSE_FACTOR
+        )
         first_s += expected_s * _FIRST_RESPONSE_FACTOR
-        gap_s = max(_SHORTEST_GAP_S, route.gap_s * _GAP_FACTOR)
+        gap_s = max(_MIN_GAP_S, route.gap_s * _GAP_FACTOR)
         return cls(admitted.deadline, first_s, gap_s)
 
     async def wait(
         self, running: attempt.Attempt, loop: asyncio.AbstractEventLoop
     ) -> attempt.AttemptResult:
-        """Returns how the attempt ended, at the latest at its limits."""
+        """Returns the result of an attempt, at its timeout at the latest."""
         while not running.done.done():
             now = loop.time()
             limit = self._find_limit(running)
