--- a/pollenfork/gateway/crash_probes.py
+++ b/pollenfork/gateway/crash_probes.py
@@ -1,9 +1,9 @@
-"""Finds out whether a runner has ended after a connection to it broke.
+"""Checks whether a runner has crashed after a connection to it broke.
 
-What runs there shows as a broken answer at once, but the entry lapses seconds
-later. A new connection tells within milliseconds: nobody listens where a
-process has ended. So all instances pass it over at once, and the request that
-ended it is known before it comes again.
+Requests that run there break at once, but the runner's registry entry expires
+seconds later. A new connection shows a crash within milliseconds, because no
+process listens any longer. All instances can then avoid the runner at once, and
+the request that crashed it is known before it is retried.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 from pollenfork.loads import messages as loads
 from pollenfork.poison import quarantine
 
-# A new connection that is closed this soon, in seconds, found nobody behind
-# what listens there.
+# A new connection that is closed this soon, in seconds, has reached a listening
+# socket without a process that accepts.
 DROP_WINDOW_S = 0.1
-# A try takes this long at most, in seconds, and a busy process a little more.
+# A probe takes this long at most, in seconds; 0.1 s are for a busy process.
 _PROBE_TIMEOUT_S = pool.CONNECT_TIMEOUT_S + DROP_WINDOW_S + 0.1
 
 
 class CrashProbe(msgspec.Struct, frozen=True):
-    """A connection that is tried to a runner.
+    """A connection attempt that shows whether a runner has crashed.
 
     Attributes:
-        connected: Resolves once the connection is made or refused.
+        connected: Resolves once the connection is established or refused.
         completed: Resolves once it is known whether the connection stays open.
             It may be closed at once, where no process accepts it or where
             the process is exiting.
@@ -42,7 +42,7 @@
 
 
 class CrashProbes:
-    """Tries a connection to each runner at which one has broken."""
+    """Probes each runner at which a connection has broken."""
 
     def __init__(
         self,
@@ -51,56 +51,58 @@
         suspected: quarantine.Quarantine,
         find_standing: Callable[[ids.EndpointId], standing.Standing],
     ) -> None:
-        """Takes what it needs.
+        """Creates an instance without probes.
 
         Args:
-            connections: Makes connections and keeps them.
-            found: Is told where nobody listens.
-            suspected: Is told where a connection was dropped at once.
-            find_standing: Returns what is known of a runner.
+            connections: Opens connections and pools them.
+            found: Receives the addresses that refuse connections.
+            suspected: Receives the runners that drop a connection at once.
+            find_standing: Returns the local health record of a runner.
         """
         self._find_standing = find_standing
         self._pool = connections
         self._evidence = found
-        self._suspected = suspected
-        # By the mark of the runner's start at its address.
-        self._tries: dict[int, CrashProbe] = {}
+        self._quarantine = suspected
+        # Keyed by the mark of a runner's incarnation at its address.
+        self._probes: dict[int, CrashProbe] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def probe(self, runner: fleet.Runner) -> CrashProbe:
-        """Begins to find out, unless that is under way."""
+        """Starts a probe, unless one is in progress; returns it."""
         place = evidence.mark(runner)
-        known = self._tries.get(place)
+        known = self._probes.get(place)
         if known is not None:
             return known
         loop = asyncio.get_running_loop()
-        begun = CrashProbe(loop.create_future(), loop.create_future())
-        self._tries[place] = begun
-        task = loop.create_task(self._try(runner, begun))
+        started = CrashProbe(loop.create_future(), loop.create_future())
+        self._probes[place] = started
+        task = loop.create_task(self._run_probe(runner, started))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return begun
+        return started
 
     async def wait_completed(self, places: Iterable[int]) -> None:
-        """Waits until the tries under way at some runners are completed.
+        """Waits until the probes in progress at some runners are completed.
 
         Args:
-            places: The marks of their starts at their addresses.
+            places: The marks of the runners' incarnations at their addresses.
         """
         waiting = [
-            self._tries[place].completed
+            self._probes[place].completed
             for place in places
-            if place in self._tries
+            if place in self._probes
         ]
         if waiting:
             await asyncio.wait(waiting, timeout=_PROBE_TIMEOUT_S)
 
     def close(self) -> None:
-        """Ends all tries."""
+        """Cancels all probes."""
         for task in list(self._tasks):
             task.cancel()
 
-    async def _try(self, runner: fleet.Runner, begun: CrashProbe) -> None:
+    async def _run_probe(
+        self, runner: fleet.Runner, started: CrashProbe
+    ) -> None:
         try:
             opened = await self._pool.open(runner, pool.CONNECT_TIMEOUT_S)
             if isinstance(opened, result.Err):
@@ -108,17 +110,17 @@
                     self._evidence.note(runner, loads.Sign.REFUSED)
                 return
             reached_at = asyncio.get_running_loop().time()
-            begun.connected.set_result(None)
+            started.connected.set_result(None)
             await asyncio.sleep(DROP_WINDOW_S)
             if opened.ok_value.usable:
                 self._find_standing(runner.id).reached_at = reached_at
                 self._pool.release(runner, opened.ok_value)
             else:
-                # Later than all that broke there meanwhile.
+                # Later than all connections that broke there meanwhile.
                 ended_by = asyncio.get_running_loop().time()
-                self._suspected.note_dropped(runner, ended_by)
+                self._quarantine.note_dropped(runner, ended_by)
         finally:
-            del self._tries[evidence.mark(runner)]
-            for known in (begun.connected, begun.completed):
-                if not known.done():
-                    known.set_result(None)
+            del self._probes[evidence.mark(runner)]
+            for pending in (started.connected, started.completed):
+                if not pending.done():
+                    pending.set_result(None)
