--- a/pollenfork/gateway/quarantine_check.py
+++ b/pollenfork/gateway/quarantine_check.py
@@ -1,4 +1,4 @@
-"""What one request's attempts show of the runners that end under it."""
+"""Checks one request against the quarantine, and reports its attempts to it."""
 
 import asyncio
 import logging
@@ -12,68 +12,72 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A repeat waits this long at most, in seconds, to hear whether the runner has
-# ended; a connection there takes 1 to 3 ms to be made or refused. Else a second
-# runner ends before the first is known to have.
-_ENDING_S = 0.05
-# A repeat waits for proof where the request broke at this many runners, one of
-# which has ended or may have: a caller's first attempt may have ended another.
-_REPEATED_ENDS = 2
-# An answer that has flowed for this long, in seconds, shows that its request
-# isn't what ended the runner: one that is does so within a second.
-_RAN_WELL_S = 5.0
+# A retry waits this long at most, in seconds, to learn whether the runner has
+# crashed; a connection takes 1 to 3 ms to be established or refused. Without
+# the wait, a second runner crashes before the first crash is known.
+_PROBE_WAIT_S = 0.05
+# A retry waits for proof if the request broke at this many runners, one of
+# which has crashed or may have: the caller's first attempt may have crashed
+# another.
+_RETRY_CRASHES = 2
+# A stream that has run for this long, in seconds, shows that its request didn't
+# crash the runner: requests that do so crash it within a second.
+_HARMLESS_AFTER_S = 5.0
 
 
 class QuarantineCheck:
-    """Asks and tells what is known of one request."""
+    """Evaluates one request, and records the results of its attempts."""
 
     def __init__(
-        self, tools: context.Dependencies, digest: ids.RequestDigest
+        self, deps: context.Dependencies, digest: ids.RequestDigest
     ) -> None:
-        """Takes what it needs.
+        """Creates the check of one request.
 
         Args:
-            tools: What all exchanges share.
-            digest: The request's.
+            deps: Dependencies that all exchanges share.
+            digest: The request's digest.
         """
-        self._tools = tools
+        self._deps = deps
         self._digest = digest
 
-    async def evaluate(self, repeats: bool) -> cases.Verdict:
-        """Returns what may be done with the request now.
+    async def evaluate(self, is_retry: bool) -> cases.Verdict:
+        """Returns whether the request may be sent now.
 
-        Where one more send may end a runner too many, it waits until it is
-        known whether the runners have ended at which the request broke here.
+        If one more attempt may crash a runner beyond the limit, this waits
+        until it is known whether the runners have crashed at which the request
+        broke here.
 
         Args:
-            repeats: Whether the request has been sent before.
+            is_retry: Whether the request has been sent before.
         """
-        tools = self._tools
-        begun_at = tools.loop.time()
-        possible = tools.request_quarantine.list_possible_ends(
-            self._digest, begun_at
+        deps = self._deps
+        started_at = deps.loop.time()
+        possible = deps.request_quarantine.list_possible_ends(
+            self._digest, started_at
         )
-        if len(possible) >= (_REPEATED_ENDS if repeats else cases.ENDS_ALLOWED):
-            await tools.crash_probes.wait_completed(possible)
-        now = tools.loop.time()
-        verdict = tools.request_quarantine.judge(self._digest, now)
+        if len(possible) >= (
+            _RETRY_CRASHES if is_retry else cases.ENDS_ALLOWED
+        ):
+            await deps.crash_probes.wait_completed(possible)
+        now = deps.loop.time()
+        verdict = deps.request_quarantine.judge(self._digest, now)
         if possible:
-            self._log_verdict(verdict, len(possible), now - begun_at)
+            self._log_verdict(verdict, len(possible), now - started_at)
         return verdict
 
     def _log_verdict(
         self, verdict: cases.Verdict, possible: int, waited_s: float
     ) -> None:
-        """Tells what a send of a request that may end runners was decided by.
+        """Logs the inputs of the verdict on a request that may crash runners.
 
         Args:
-            verdict: What may be done with it.
-            possible: Runners that it may have ended.
-            waited_s: Seconds for which proof was waited for.
+            verdict: The verdict.
+            possible: Number of runners that the request may have crashed.
+            waited_s: Seconds for which crash probes were awaited.
         """
-        case = self._tools.request_quarantine.book.find(self._digest)
+        case = self._deps.request_quarantine.book.find(self._digest)
         ends = case.ends if case is not None else []
-        now = self._tools.loop.time()
+        now = self._deps.loop.time()
         _LOG.info(
             "event=request_judged digest=%016x verdict=%s ends=%d possible=%d "
             "last_ms=%s waited_ms=%d",
@@ -86,8 +90,8 @@
         )
 
     async def claim_trial(self) -> bool:
-        """Returns whether a request that is kept back may run this once."""
-        return await self._tools.claim_trial(self._digest)
+        """Returns whether a quarantined request may run this once."""
+        return await self._deps.claim_trial(self._digest)
 
     def record_attempt(
         self,
@@ -95,33 +99,33 @@
         ended: attempt.AttemptResult,
         sent_at: float,
         connected_at: float | None,
-        flows: bool,
+        is_streaming: bool,
     ) -> None:
-        """Takes the end of an attempt.
+        """Records the result of an attempt.
 
         Args:
-            runner: Where it was, as it was when chosen.
-            ended: How it ended.
-            sent_at: Monotonic seconds at which it began.
-            connected_at: The same of its connection.
-            flows: Whether events of its answer have come.
+            runner: The runner, as registered when it was chosen.
+            ended: The result.
+            sent_at: Monotonic seconds at which the attempt started.
+            connected_at: Monotonic seconds at which its connection was opened.
+            is_streaming: Whether events of its answer have arrived.
         """
-        tools = self._tools
-        now = tools.loop.time()
+        deps = self._deps
+        now = deps.loop.time()
         if ended.end is fleet_messages.End.WHOLE:
-            tools.request_quarantine.note_answered(self._digest, now)
+            deps.request_quarantine.note_answered(self._digest, now)
         if not ended.connection_lost:
             return
-        if not (flows and now - sent_at > _RAN_WELL_S):
-            tools.request_quarantine.note_broken(
+        if not (is_streaming and now - sent_at > _HARMLESS_AFTER_S):
+            deps.request_quarantine.note_broken(
                 self._digest, runner, sent_at, now, connected_at
             )
-        tools.crash_probes.probe(runner)
+        deps.crash_probes.probe(runner)
 
     async def wait_for_probe(
         self, runner: fleet.Runner, ended: attempt.AttemptResult
     ) -> None:
-        """Lets a repeat wait until it is known whether the runner has ended."""
+        """Delays a retry until it is known whether the runner has crashed."""
         if ended.connection_lost:
-            probe = self._tools.crash_probes.probe(runner)
-            await asyncio.wait({probe.connected}, timeout=_ENDING_S)
+            probe = self._deps.crash_probes.probe(runner)
+            await asyncio.wait({probe.connected}, timeout=_PROBE_WAIT_S)
--- a/pollenfork/gateway/request_log.py
+++ b/pollenfork/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""The lines and counts that tell one request's history afterwards."""
+"""Log lines and counters of one request's progress."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class RequestLog:
-    """Tells what is decided for a request, with the inputs and their age."""
+    """Logs the decisions on a request, with their inputs and age."""
 
     def __init__(
         self,
@@ -26,12 +26,13 @@
         read_loads_age: Callable[[], float | None],
         admitted: context.AdmittedRequest,
     ) -> None:
-        """Takes what it needs.
+        """Creates the log of one request.
 
         Args:
-            loop: Its clock is used.
-            counted: Where requests are counted.
-            read_loads_age: Returns how old others' loads are, in seconds.
+            loop: The event loop, for its clock.
+            counted: The counters of requests.
+            read_loads_age: Returns the age of the other instances' loads in
+                seconds.
             admitted: The request.
         """
         self._loop = loop
@@ -48,7 +49,7 @@
     def log_choice(
         self, grant: outcomes.Grant, history: retries.AttemptHistory
     ) -> None:
-        """Tells which runner was chosen and why."""
+        """Logs which runner was chosen and why."""
         admitted = self._admitted
         if not history.runners_tried:
             self._counters.note_wait(admitted.route, self.took_s)
@@ -82,14 +83,14 @@
         self,
         grant: outcomes.Grant,
         ended: attempt.AttemptResult,
-        sequel: retries.RetryDecision,
+        decision: retries.RetryDecision,
         history: retries.AttemptHistory,
     ) -> None:
-        """Tells how an attempt failed and what follows."""
-        if sequel is retries.RetryDecision.RETRIED:
+        """Logs how an attempt failed and what follows."""
+        if decision is retries.RetryDecision.RETRIED:
             self._counters.note_repeat(ended.end)
         else:
-            self._counters.note_not_repeated(sequel)
+            self._counters.note_not_repeated(decision)
         _LOG.warning(
             "event=attempt_failed request=%s digest=%016x runner=%s end=%s "
             "breach=%s status=%s route=%s took_ms=%d left_ms=%d sent=%d "
@@ -104,18 +105,18 @@
             self.took_s * 1000,
             self._left_s * 1000,
             history.sent,
-            sequel.value,
+            decision.value,
         )
 
     def log_standing_change(
         self, grant: outcomes.Grant, ended: attempt.AttemptResult, failures: int
     ) -> None:
-        """Tells what is believed of a runner, if that changed.
+        """Logs a change in the number of a runner's consecutive failures.
 
         Args:
-            grant: The runner, with its standing now.
-            ended: How an attempt at it ended.
-            failures: Its failures in a row before.
+            grant: The runner, with its current standing.
+            ended: The result of the last attempt.
+            failures: Its consecutive failures before that attempt.
         """
         seen = grant.standing
         if seen.failures > failures:
@@ -143,7 +144,7 @@
         served: counters.Served,
         history: retries.AttemptHistory,
     ) -> None:
-        """Tells that a runner's answer was handed to the caller."""
+        """Logs that a runner's answer was delivered to the caller."""
         route = self._admitted.route
         self._counters.note_served(route, served)
         _LOG.info(
@@ -169,7 +170,7 @@
         may_have_run: bool,
         history: retries.AttemptHistory,
     ) -> None:
-        """Tells the gateway's own final answer."""
+        """Logs the gateway's own final response."""
         self._counters.note_refused(reason)
         _LOG.warning(
             "event=given_up request=%s digest=%016x route=%s reason=%s "
@@ -191,7 +192,7 @@
         begun: bool,
         history: retries.AttemptHistory,
     ) -> None:
-        """Tells that the caller left, which ended what ran for it."""
+        """Logs that the caller disconnected, which cancelled its request."""
         self._counters.note_gone()
         _LOG.info(
             "event=caller_gone request=%s route=%s runner=%s sent=%d begun=%s "
@@ -206,7 +207,7 @@
         )
 
     def log_internal_error(self) -> None:
-        """Tells of a fault of this program, with its trace."""
+        """Logs an internal error with its traceback."""
         _LOG.exception("event=request_failed request=%s", self._request)
 
     @property
