--- a/pollenfork/gateway/load_shedding.py
+++ b/pollenfork/gateway/load_shedding.py
@@ -1,30 +1,31 @@
-"""Which requests are refused as they come, since they would be late.
+"""Sheds requests on arrival that would miss their target anyway.
 
-Where the best runner has so much to read that a less urgent request would be
-late anyway, it is refused when it comes, with when to come back. Taken on, it
-would be read, generate slowly beside the others' reading, and often be cut at
-its time limit, and make all behind it late too.
+If the best runner has so much prefill queued that a less urgent request would
+be late, the request is refused on arrival, with a time to retry. If admitted,
+it would be processed, generate slowly beside the prefill of others, often be
+cut off at its time limit, and delay all requests behind it.
 
-What isn't refused goes to its runner at once. Keeping long prompts here until
-their runner had read most of what was before them cost more than it saved: the
-wait was added to the time at the runner, and in overload a twentieth of what
-callers were owed was lost by it.
+Requests that aren't shed are sent to their runner at once. Queueing long
+prompts here until their runner had processed most of its backlog cost more than
+it saved: the wait was added to the time at the runner, and under overload a
+twentieth of the value due to callers was lost.
 """
 
 from pollenfork import ids
 from pollenfork.fleet import offers
 from pollenfork.routes import model as routes
 
-# A request of the least urgent tier, or another one below the most urgent, is
-# refused if its prompt would be read only after so many of its targets. In
-# overload by long prompts 0.5 and 1.0 for the least urgent earned a twentieth
-# less; 0.35 a tenth less.
-_LONGEST_LEAST_URGENT = 0.7
-_LONGEST_OTHERS = 2.0
-# After so many refusals in a row the next request of the tier is taken on all
-# the same: others that fill the runners up to their own limit must not keep a
-# tier out for good. With a third refused, it happens once in 200 requests.
-_REFUSED_IN_A_ROW = 5
+# Limits on the prefill delay of a request, in multiples of its latency target:
+# for the least urgent tier, and for the others below the most urgent. Under
+# overload by long prompts, 0.5 and 1.0 for the least urgent tier earned a
+# twentieth less; 0.35 a tenth less.
+_LEAST_URGENT_LIMIT = 0.7
+_OTHERS_LIMIT = 2.0
+# After this many consecutive refusals the next request of the tier is admitted
+# anyway, so that tiers that fill the runners up to their own limits can't
+# starve it. With a third of requests refused, this happens once in 200
+# requests.
+_MAX_CONSECUTIVE_REFUSALS = 5
 
 
 def find_prefill_limit(
@@ -33,28 +34,28 @@
     demand: offers.Demand,
     favoured: bool = False,
 ) -> float | None:
-    """Returns the seconds in which a request's prompt must be read.
+    """Returns the time limit for processing a request's prompt.
 
     Args:
-        route: Its route.
+        route: The request's route.
         tiers: The tiers of all routes to its service, the most urgent first.
-        demand: What it asks of a runner.
-        favoured: Whether its account is more urgent than others.
+        demand: What it needs from a runner.
+        favoured: Whether its account has a higher priority than others.
 
     Returns:
-        Seconds from its arrival; None: any.
+        Seconds from its arrival; None: no limit.
     """
     if not demand.parts or len(tiers) < 2 or route.tier <= tiers[0]:
         return None
     if not route.target_s:
         return None
     last = route.tier >= tiers[-1] and not favoured
-    longest = _LONGEST_LEAST_URGENT if last else _LONGEST_OTHERS
-    return route.target_s * longest
+    factor = _LEAST_URGENT_LIMIT if last else _OTHERS_LIMIT
+    return route.target_s * factor
 
 
 class ShedStreaks:
-    """Remembers refusals in a row, by service and tier."""
+    """Counts consecutive refusals by service and tier."""
 
     def __init__(self) -> None:
         self._refused: dict[tuple[ids.ServiceName, ids.Tier], int] = {}
@@ -62,12 +63,12 @@
     def admit_after_refusals(
         self, service: ids.ServiceName, tier: ids.Tier
     ) -> bool:
-        """Returns whether a request to be refused is taken on all the same."""
+        """Counts a refusal; returns whether to admit the request instead."""
         refused = self._refused.get((service, tier), 0)
-        due = refused >= _REFUSED_IN_A_ROW
+        due = refused >= _MAX_CONSECUTIVE_REFUSALS
         self._refused[service, tier] = 0 if due else refused + 1
         return due
 
     def reset(self, service: ids.ServiceName, tier: ids.Tier) -> None:
-        """Notes that a request of the tier was taken on in the usual way."""
+        """Resets the count, as a request of the tier was admitted normally."""
         self._refused.pop((service, tier), None)
