--- a/pollenfork/gateway/callers.py
+++ b/pollenfork/gateway/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests read within limits, answers written."""
+"""HTTP server connections of callers, with limits on size and time."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -15,15 +15,15 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Bytes that wait for a slow caller before its runner is made to wait too.
-_UNSENT_HIGH = 64 * 1024
-# A caller that keeps its connection may still be using it when its idle limit
-# runs out; one that closes a little later never cuts such a request.
+# Bytes buffered for a slow caller before reading from its runner is paused.
+_WRITE_BUFFER_BYTES = 64 * 1024
+# Added to the idle limit, since a caller may send a request on a persistent
+# connection just as the limit expires.
 _IDLE_MARGIN_S = 0.5
 
 
 class Fault(enum.Enum):
-    """Why a caller's bytes are refused."""
+    """Why a caller's request can't be parsed."""
 
     MALFORMED = "malformed"
     HEADERS_TOO_LARGE = "headers_too_large"
@@ -32,7 +32,7 @@
 
 
 class CallerCounters(msgspec.Struct):
-    """What the callers' side counts."""
+    """Counts of callers' connections and requests."""
 
     connections: int = 0
     open: int = 0
@@ -42,13 +42,13 @@
 
 
 class Server:
-    """What all callers' connections of one listener share.
+    """State shared by all connections of one listener.
 
     Attributes:
-        limits: Limits on callers in force.
-        closing: Whether each connection ends with its answer.
-        counters: What is counted.
-        connections: Those that are open.
+        limits: The current limits on callers.
+        closing: Whether each connection closes after its current answer.
+        counters: Counts of connections and requests.
+        connections: The open connections.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
         self.connections: set[CallerConnection] = set()
 
     def make_connection(self) -> "CallerConnection":
-        """Returns the protocol of a connection just accepted."""
+        """Returns the protocol of a newly accepted connection."""
         return CallerConnection(self)
 
     def close_idle(self) -> None:
-        """Closes connections that serve and read nothing."""
+        """Closes connections without a request in progress."""
         for each in list(self.connections):
             each.close_if_idle()
 
@@ -81,7 +81,7 @@
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection; its requests are served one by one."""
+    """One caller's connection; serves its requests one at a time."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -109,7 +109,7 @@
 
     @property
     def closing(self) -> bool:
-        """Whether the connection ends with the answer under way."""
+        """Whether the connection closes after the current answer."""
         return self._closing or self._server.closing
 
     def write(self, data: bytes) -> None:
@@ -117,42 +117,42 @@
         if self._transport is not None:
             self._transport.write(data)
 
-    def watch_backpressure(self, call: Callable[[bool], None]) -> None:
-        """Calls `call` with True while the caller doesn't read fast enough."""
-        self._on_paused = call
+    def watch_backpressure(self, callback: Callable[[bool], None]) -> None:
+        """Sets the callback for a write buffer that fills (True) or drains."""
+        self._on_paused = callback
 
     def close_after_answer(self) -> None:
-        """Ends the connection once the answer under way is written."""
+        """Closes the connection once the current answer is written."""
         self._closing = True
 
     def abort(self) -> None:
-        """Ends the connection so that the answer can't look complete."""
+        """Resets the connection, so that the answer can't look complete."""
         self._closing = True
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Closes the connection unless a request is under way."""
+        """Closes the connection unless a request is in progress."""
         if self.idle and self._transport is not None:
             self._transport.close()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to wait for a request."""
+        """Registers the connection and starts the header timeout."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=_UNSENT_HIGH)
+        transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
         host, port = transport.get_extra_info("peername")[:2]
         self._peer = f"{host}:{port}"
         self._server.connections.add(self)
         self._server.counters.connections += 1
-        self._arm(self._server.limits.header_s, self._give_up_reading)
+        self._start_timer(self._server.limits.header_s, self._on_read_timeout)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancels what runs for the caller."""
+        """Cancels the caller's request."""
         self._server.connections.discard(self)
-        self._disarm()
+        self._stop_timer()
         self._transport = None
         self._waiting.clear()
         if self._task is not None:
@@ -160,21 +160,21 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Treats a caller that closed its side as one that has left."""
+        """Treats a half-closed connection as disconnected."""
         return False
 
     def pause_writing(self) -> None:
-        """Notes that the caller doesn't read."""
+        """Reports a full write buffer."""
         if self._on_paused is not None:
             self._on_paused(True)
 
     def resume_writing(self) -> None:
-        """Notes that the caller reads again."""
+        """Reports that the write buffer has drained."""
         if self._on_paused is not None:
             self._on_paused(False)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received bytes."""
         if self._fault is not None or self._closing:
             return
         try:
@@ -187,10 +187,10 @@
             if self._fault is not None:
                 self._refuse(self._fault)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begins a request."""
+        """Starts a request."""
         self._reading = True
         self._arrived = self._server.loop.time()
         self._target = b""
@@ -199,32 +199,34 @@
         self._body = []
         self._body_bytes = 0
         if self._task is None:
-            self._arm(self._server.limits.header_s, self._give_up_reading)
+            self._start_timer(
+                self._server.limits.header_s, self._on_read_timeout
+            )
 
     def on_url(self, url: bytes) -> None:
-        """Keeps the target."""
+        """Stores the target."""
         self._target += url
         self._count_header(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
+        """Stores a header."""
         self._count_header(len(name) + len(value) + 4)
         if self._fault is None:
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Gives the body its own time."""
+        """Starts the timeout of the body; answers `Expect: 100-continue`."""
         if self._task is None:
-            self._arm(
+            self._start_timer(
                 self._server.limits.idle_s + _IDLE_MARGIN_S,
-                self._give_up_reading,
+                self._on_read_timeout,
             )
         for name, value in self._headers:
             if name == b"expect" and value.lower() == b"100-continue":
                 self.write(replies.CONTINUE)
 
     def on_body(self, data: bytes) -> None:
-        """Keeps a piece of the body."""
+        """Stores a piece of the body."""
         self._body_bytes += len(data)
         if self._body_bytes > self._server.limits.body_bytes:
             self._fault = self._fault or Fault.BODY_TOO_LARGE
@@ -233,7 +235,7 @@
             self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Serves the request, or lets it wait for the one before."""
+        """Serves the request, or queues it behind the one in progress."""
         self._reading = False
         if self._fault is not None:
             return
@@ -250,7 +252,7 @@
         self._waiting.append((call, keep))
         self._serve_next()
 
-    # The course of requests.
+    # Serving requests.
 
     def _count_header(self, size: int) -> None:
         self._header_bytes += size
@@ -261,20 +263,20 @@
         if self._task is not None or not self._waiting:
             return
         call, keep = self._waiting.pop(0)
-        self._disarm()
+        self._stop_timer()
         if not keep:
             self._closing = True
         self._server.counters.requests += 1
         serving = self._server.serve(call, self)
         self._task = self._server.loop.create_task(serving)
-        self._task.add_done_callback(self._note_served)
+        self._task.add_done_callback(self._on_served)
 
-    def _note_served(self, task: asyncio.Task[None]) -> None:
+    def _on_served(self, task: asyncio.Task[None]) -> None:
         self._task = None
         self._on_paused = None
         if not task.cancelled() and task.exception() is not None:
             self._server.loop.call_exception_handler(
-                {"message": "serving failed", "exception": task.exception()}
+                {"message": "request failed", "exception": task.exception()}
             )
             self.abort()
         if self._transport is None:
@@ -286,9 +288,11 @@
         self._serve_next()
         if self.idle:
             limits = self._server.limits
-            self._arm(limits.idle_s + _IDLE_MARGIN_S, self.close_if_idle)
+            self._start_timer(
+                limits.idle_s + _IDLE_MARGIN_S, self.close_if_idle
+            )
 
-    def _give_up_reading(self) -> None:
+    def _on_read_timeout(self) -> None:
         if self._task is not None or self._transport is None:
             return
         if self._reading:
@@ -297,7 +301,7 @@
             self._transport.close()
 
     def _refuse(self, fault: Fault) -> None:
-        """Answers bytes that are no request, and closes."""
+        """Answers a request that can't be parsed, and closes."""
         self._fault = fault
         counted = self._server.counters.refused
         counted[fault.value] = counted.get(fault.value, 0) + 1
@@ -316,11 +320,11 @@
             self.write(replies.write_fault(_STATUSES[fault], fault.value))
             self._transport.close()
 
-    def _arm(self, seconds: float, call: Callable[[], None]) -> None:
-        self._disarm()
+    def _start_timer(self, seconds: float, call: Callable[[], None]) -> None:
+        self._stop_timer()
         self._timer = self._server.loop.call_later(seconds, call)
 
-    def _disarm(self) -> None:
+    def _stop_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/pollenfork/gateway/request_handler.py
+++ b/pollenfork/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests in, and answers whoever asks about this instance."""
+"""Handles callers' requests, readiness checks and metrics scrapes."""
 
 import logging
 
@@ -20,44 +20,44 @@
 
 
 class RequestHandler:
-    """What callers, the balancer and scrapers reach first."""
+    """Entry point for callers, the load balancer and scrapers."""
 
     def __init__(
         self,
-        tools: context.Dependencies,
+        deps: context.Dependencies,
         known: knowledge.Knowledge,
         ready: readiness.Readiness,
     ) -> None:
-        """Takes what it needs.
+        """Creates a handler.
 
         Args:
-            tools: What all exchanges share.
-            known: What is known of the configuration and of the runners.
-            ready: Says whether callers should be sent here.
+            deps: Dependencies that all exchanges share.
+            known: The instance's view of the configuration and the runners.
+            ready: Decides whether the load balancer should send callers here.
         """
-        self._tools = tools
+        self._deps = deps
         self._known = known
         self._readiness = ready
 
     async def serve(
         self, call: messages.Request, caller: callers.CallerConnection
     ) -> None:
-        """Serves one request of a caller, or refuses it."""
-        repeated = self._tools.codec.find_duplicate(call.headers)
+        """Serves or refuses one request of a caller."""
+        repeated = self._deps.codec.find_duplicate(call.headers)
         if repeated is not None:
             refusal = replies.Refusal(
                 _BAD_REQUEST, replies.Reason.REPEATED_HEADER
             )
             self._refuse(call, caller, refusal, "")
             return
-        head = self._tools.codec.decode_request(call.headers)
+        head = self._deps.codec.decode_request(call.headers)
         admitted = admission.admit(
-            self._known, call, head, self._tools.loop.time()
+            self._known, call, head, self._deps.loop.time()
         )
         if isinstance(admitted, result.Err):
             self._refuse(call, caller, admitted.err_value, head.attempt)
             return
-        await exchange.Exchange(self._tools, admitted.ok_value, caller).run()
+        await exchange.Exchange(self._deps, admitted.ok_value, caller).run()
 
     def _refuse(
         self,
@@ -66,8 +66,8 @@
         refusal: replies.Refusal,
         request: str,
     ) -> None:
-        self._tools.counters.note_refused(refusal.reason)
-        age_s = self._known.freshness.age(self._tools.loop.time())
+        self._deps.counters.note_refused(refusal.reason)
+        age_s = self._known.freshness.age(self._deps.loop.time())
         known = self._known.lookup
         _LOG.info(
             "event=refused request=%s status=%d reason=%s host=%s path=%s "
@@ -85,11 +85,11 @@
     async def serve_probe(
         self, call: messages.Request, caller: callers.CallerConnection
     ) -> None:
-        """Answers the balancer, or shows the counts."""
-        if not self._tools.codec.is_ready_check(call.target):
-            caller.write(replies.write_text(200, self._tools.counters.write()))
+        """Answers a readiness check or a metrics scrape."""
+        if not self._deps.codec.is_ready_check(call.target):
+            caller.write(replies.write_text(200, self._deps.counters.write()))
             return
-        now = self._tools.loop.time()
+        now = self._deps.loop.time()
         ready = self._readiness.check(now)
         status = 200 if ready else 503
         caller.write(replies.write_text(status, b"ready" if ready else b"no"))
