--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -1,4 +1,4 @@
-"""A codec of the tests' own, a runner that follows a script, a gateway."""
+"""Test doubles: a codec, a scripted runner, and a gateway's data path."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 class Codec:
-    """Speaks headers of its own: `x-id`, `x-seal`, `x-unrun` and others."""
+    """Uses test headers: `x-id`, `x-seal`, `x-unrun` and others."""
 
     def find_duplicate(self, headers):
         return None
@@ -121,10 +121,10 @@
 
 
 class Runner:
-    """Answers each request with the next bytes of its script, then closes.
+    """Answers each request with the next item of its script, then closes.
 
     Attributes:
-        got: The heads of the requests that came.
+        got: The heads of the received requests.
         keeps: Whether connections stay open after an answer.
     """
 
@@ -179,7 +179,7 @@
 
 
 class Gateway:
-    """The data path alone: a caller's listener and exchanges."""
+    """The data path of a gateway: a listener for callers, and exchanges."""
 
     def __init__(self, route: routes.Route) -> None:
         loop = asyncio.get_running_loop()
@@ -187,7 +187,7 @@
         self.route = route
         self.demand = offers.Demand(SERVICE)
         self.begun: list[ids.AccountId] = []
-        self.longest_s: float | None = None
+        self.prefill_limit_s: float | None = None
         self.runners = registry.Registry()
         connections = pool.Pool(loop)
         connections.watch_registry(self.runners)
@@ -203,7 +203,7 @@
             loop.time,
         )
         found.when_ended(suspected.note_absent)
-        self.tools = context.Dependencies(
+        self.deps = context.Dependencies(
             loop=loop,
             rng=rng,
             codec=Codec(),
@@ -229,7 +229,7 @@
         self._server: asyncio.Server | None = None
 
     async def _claim_trial(self, digest: ids.RequestDigest) -> bool:
-        """Returns whether a claim of a trial is left."""
+        """Returns whether the test allows another trial."""
         self.claims -= 1
         return self.claims >= 0
 
@@ -245,18 +245,18 @@
 
     def stop(self) -> None:
         self._server.close()
-        self.tools.prober.close()
-        self.tools.crash_probes.close()
-        self.tools.pool.close()
+        self.deps.prober.close()
+        self.deps.crash_probes.close()
+        self.deps.pool.close()
 
     async def _serve(self, call, caller) -> None:
-        head = self.tools.codec.decode_request(call.headers)
+        head = self.deps.codec.decode_request(call.headers)
         admitted = context.AdmittedRequest(
             call=call,
             head=head,
             route=self.route,
             demand=self.demand,
-            prefill_limit_s=self.longest_s,
+            prefill_limit_s=self.prefill_limit_s,
             account=None,
             tier=self.route.tier,
             version=1,
@@ -264,7 +264,7 @@
             deadline=call.arrived + self.route.time_limit_s,
             digest=digests.make(None, call.method, call.target, call.body),
         )
-        await exchange.Exchange(self.tools, admitted, caller).run()
+        await exchange.Exchange(self.deps, admitted, caller).run()
 
 
 def make_route(kind: routes.Kind, **given) -> routes.Route:
@@ -290,13 +290,13 @@
 
 @contextlib.asynccontextmanager
 async def run_gateway(route: routes.Route, *runners: Runner):
-    """A gateway before runners; they are tried in order of their names."""
+    """Runs a gateway with runners, which it tries in the given order."""
     gateway = Gateway(route)
     await gateway.start()
     for number, runner in enumerate(runners):
         entry = await runner.start()
         gateway.runners.put(entry)
-        seen = gateway.tools.chooser.find_standing(entry.id)
+        seen = gateway.deps.chooser.find_standing(entry.id)
         seen.failing = number * 0.2
     try:
         yield gateway
@@ -309,7 +309,7 @@
 async def ask(
     gateway: Gateway, data: bytes = b"GET /p HTTP/1.1\r\nx-id: q\r\n\r\n"
 ) -> bytes:
-    """Returns all that comes back until the connection is closed."""
+    """Sends a request; returns all bytes until the connection is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
     closing = data.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n", 1)
     writer.write(closing)
--- a/pollenfork/gateway/tests/test_exchange.py
+++ b/pollenfork/gateway/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""What each failure proves decides what the caller is told."""
+"""Responses to callers after each kind of failure at the runners."""
 
 import asyncio
 import logging
@@ -9,7 +9,7 @@
 import pytest
 
 from pollenfork import ids
-from pollenfork.fleet import messages as messages_of_fleet
+from pollenfork.fleet import messages as fleet_messages
 from pollenfork.gateway.tests import support
 from pollenfork.routes import model
 
@@ -19,8 +19,8 @@
 GOOD = support.write_answer(b"good")
 
 
-def play(route, *scripts, data=None):
-    """Returns the caller's answer and how often each runner was asked."""
+def run_request(route, *scripts, data=None):
+    """Returns the caller's answer and the requests sent to each runner."""
 
     async def run():
         runners = [
@@ -40,13 +40,13 @@
 
 
 def test_a_whole_answer_comes_back_with_its_seal() -> None:
-    answer, asked = play(support.make_route(ONCE), [GOOD])
+    answer, asked = run_request(support.make_route(ONCE), [GOOD])
     assert answer.endswith(b"\r\n\r\ngood")
     assert b"x-seal: z" in answer
     assert asked == [1]
 
 
-# Bytes that are no whole answer to this request, in ways that runners fail.
+# Incomplete or invalid answers to the request, as failing runners send them.
 BROKEN = {
     "closed": b"",
     "cut": support.write_answer(b"good")[:-2],
@@ -58,30 +58,32 @@
 
 
 @pytest.mark.parametrize("broken", BROKEN.values(), ids=BROKEN)
-def test_a_broken_answer_is_repeated_where_that_is_harmless(broken) -> None:
-    answer, asked = play(support.make_route(REPEATABLE), [broken], [GOOD, GOOD])
+def test_a_broken_answer_is_retried_on_a_repeatable_route(broken) -> None:
+    answer, asked = run_request(
+        support.make_route(REPEATABLE), [broken], [GOOD, GOOD]
+    )
     assert answer.endswith(b"good")
     assert asked == [1, 1]
 
 
 @pytest.mark.parametrize("broken", BROKEN.values(), ids=BROKEN)
-def test_a_broken_answer_to_what_runs_once_promises_nothing(broken) -> None:
-    answer, asked = play(support.make_route(ONCE), [broken], [GOOD])
+def test_a_broken_answer_on_an_at_most_once_route_gives_502(broken) -> None:
+    answer, asked = run_request(support.make_route(ONCE), [broken], [GOOD])
     assert read_status(answer) == 502
     assert b"retry-after" not in answer
     assert asked == [1, 0]
 
 
-def test_a_refusal_goes_to_another_runner() -> None:
+def test_a_refused_request_is_retried_at_another_runner() -> None:
     for kind in (REPEATABLE, ONCE, STREAM):
-        answer, asked = play(
+        answer, asked = run_request(
             support.make_route(kind), [support.REFUSED], [GOOD]
         )
         assert answer.endswith(b"good")
         assert asked == [1, 1]
 
 
-def test_a_runner_that_is_another_one_now_gets_no_more_work(caplog) -> None:
+def test_a_displaced_runner_gets_no_more_requests(caplog) -> None:
     async def run():
         moved = support.Runner("r0", support.DISPLACED, GOOD)
         there = support.Runner("r1", GOOD, GOOD)
@@ -98,53 +100,55 @@
     )
 
 
-def test_refused_everywhere_is_told_as_not_run_with_when_to_return() -> None:
+def test_a_request_refused_everywhere_gives_503_and_retry_after() -> None:
     route = support.make_route(ONCE, attempts=1)
-    answer, asked = play(route, [support.REFUSED], [GOOD])
+    answer, asked = run_request(route, [support.REFUSED], [GOOD])
     assert read_status(answer) == 503
     assert re.search(rb"retry-after: 0\.\d+", answer)
     assert asked == [1, 0]
 
 
-def test_refused_after_it_may_have_run_is_not_told_as_not_run() -> None:
-    answer, asked = play(
+def test_a_request_that_may_have_run_before_a_refusal_gives_502() -> None:
+    answer, asked = run_request(
         support.make_route(REPEATABLE), [b""], [support.REFUSED]
     )
     assert read_status(answer) == 502
     assert asked == [1, 1]
 
 
-def test_no_runner_is_told_as_not_run() -> None:
-    answer, _ = play(support.make_route(ONCE))
+def test_without_runners_a_request_gives_503() -> None:
+    answer, _ = run_request(support.make_route(ONCE))
     assert read_status(answer) == 503
     assert b"no_runner" in answer
 
 
-def test_a_runners_own_error_is_repeated_or_passed_on() -> None:
+def test_a_runners_server_error_is_retried_or_forwarded() -> None:
     failed = support.write_answer(b"sorry", status=500)
     route = support.make_route(REPEATABLE)
-    assert play(route, [failed], [GOOD])[0].endswith(b"good")
-    answer, asked = play(route, [failed], [failed])
+    assert run_request(route, [failed], [GOOD])[0].endswith(b"good")
+    answer, asked = run_request(route, [failed], [failed])
     assert read_status(answer) == 500 and answer.endswith(b"sorry")
-    answer, asked = play(support.make_route(ONCE), [failed], [GOOD])
+    answer, asked = run_request(support.make_route(ONCE), [failed], [GOOD])
     assert read_status(answer) == 500
     assert asked == [1, 0]
 
 
-def test_a_silent_runner_is_given_up_where_another_may_be_asked() -> None:
-    answer, asked = play(support.make_route(REPEATABLE), [support.HANG], [GOOD])
+def test_a_silent_runner_is_abandoned_on_a_repeatable_route() -> None:
+    answer, asked = run_request(
+        support.make_route(REPEATABLE), [support.HANG], [GOOD]
+    )
     assert answer.endswith(b"good")
     assert asked == [1, 1]
 
 
-def test_the_time_limit_ends_the_wait_for_what_may_have_run() -> None:
+def test_the_time_limit_of_a_request_that_may_have_run_gives_504() -> None:
     route = support.make_route(ONCE, time_limit_s=0.4)
-    answer, asked = play(route, [support.HANG], [GOOD])
+    answer, asked = run_request(route, [support.HANG], [GOOD])
     assert read_status(answer) == 504
     assert asked == [1, 0]
 
 
-def test_a_runner_that_is_not_there_costs_no_attempt() -> None:
+def test_an_unreachable_runner_does_not_count_as_an_attempt() -> None:
     async def run():
         gone = support.Runner("r0")
         there = support.Runner("r1", GOOD)
@@ -156,7 +160,9 @@
     assert asyncio.run(run()).endswith(b"good")
 
 
-def test_runners_out_of_reach_cost_no_time_until_one_is_back(caplog) -> None:
+def test_unreachable_runners_are_not_tried_until_a_probe_succeeds(
+    caplog,
+) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.probing")
 
     async def run():
@@ -166,9 +172,9 @@
             entry = gateway.runners.find(ids.EndpointId("r0"))
             gone.stop()
             tried = [await support.ask(gateway) for _ in range(2)]
-            made = gateway.tools.pool.counters.opened
+            made = gateway.deps.pool.counters.opened
             refused = await support.ask(gateway)
-            assert gateway.tools.pool.counters.opened == made
+            assert gateway.deps.pool.counters.opened == made
             await gone.start(entry.port)
             while "event=runner_tried" not in caplog.text:
                 await asyncio.sleep(0.01)
@@ -182,38 +188,38 @@
     assert "runner=r0 reachable=True tries=" in caplog.text
 
 
-def test_a_runner_out_of_reach_is_passed_over() -> None:
+def test_a_runner_known_to_be_unreachable_is_skipped() -> None:
     async def run():
         gone = support.Runner("r0")
         there = support.Runner("r1", *[GOOD] * 4)
         route = support.make_route(ONCE)
         async with support.run_gateway(route, gone, there) as gateway:
             gone.stop()
-            seen = gateway.tools.chooser.find_standing(ids.EndpointId("r0"))
+            seen = gateway.deps.chooser.find_standing(ids.EndpointId("r0"))
             for _ in range(2):
-                seen.note_end(messages_of_fleet.End.UNSENT, False, 0.0)
-            made = gateway.tools.pool.counters.unreachable
+                seen.note_end(fleet_messages.End.UNSENT, False, 0.0)
+            made = gateway.deps.pool.counters.unreachable
             answer = await support.ask(gateway)
-            return answer, gateway.tools.pool.counters.unreachable - made
+            return answer, gateway.deps.pool.counters.unreachable - made
 
     answer, unreachable = asyncio.run(run())
     assert answer.endswith(b"good") and unreachable == 0
 
 
-def test_an_answer_without_length_is_whole_at_its_end() -> None:
+def test_an_answer_without_length_is_complete_at_end_of_file() -> None:
     unframed = b"HTTP/1.1 200 X\r\nx-id: q\r\nx-seal: z\r\n\r\ngood"
-    answer, _ = play(support.make_route(ONCE), [unframed])
+    answer, _ = run_request(support.make_route(ONCE), [unframed])
     assert answer.endswith(b"content-length: 4\r\n\r\ngood")
 
 
-def test_a_late_answer_to_another_request_is_left_out() -> None:
+def test_a_late_answer_to_another_request_is_discarded() -> None:
     late = support.write_answer(b"evil", request="other")
-    answer, _ = play(support.make_route(ONCE), [late + GOOD])
+    answer, _ = run_request(support.make_route(ONCE), [late + GOOD])
     assert answer.endswith(b"good")
     assert b"evil" not in answer
 
 
-def test_a_second_answer_goes_to_nobody() -> None:
+def test_an_unsolicited_answer_is_discarded() -> None:
     async def run():
         runner = support.Runner("r0", GOOD + GOOD, GOOD)
         runner.keeps = True
@@ -227,7 +233,7 @@
     assert connections == 2
 
 
-def test_a_kept_connection_is_used_again() -> None:
+def test_a_persistent_connection_is_reused() -> None:
     async def run():
         runner = support.Runner("r0", GOOD, GOOD)
         runner.keeps = True
@@ -240,7 +246,7 @@
     assert asyncio.run(run()) == 1
 
 
-def test_a_caller_that_leaves_ends_its_runners_work(caplog) -> None:
+def test_a_disconnected_caller_cancels_its_request(caplog) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.request_log")
 
     async def run():
@@ -254,35 +260,33 @@
             writer.close()
             async with asyncio.timeout(5):
                 await runner.closed.wait()
-            return gateway.tools.chooser.list_loads()
+            return gateway.deps.chooser.list_loads()
 
     assert asyncio.run(run()) == {}
     assert "event=caller_gone request=q route=r runner=r0 sent=1" in caplog.text
 
 
-def test_a_fault_of_the_router_is_answered_by_what_is_proven(caplog) -> None:
+def test_an_internal_error_after_sending_gives_502(caplog) -> None:
     class Codec(support.Codec):
         def encode_request(self, call, sending):
             raise ValueError("broken")
 
     async def run(route):
         async with support.run_gateway(route, support.Runner("r0")) as gateway:
-            gateway.tools = msgspec.structs.replace(
-                gateway.tools, codec=Codec()
-            )
+            gateway.deps = msgspec.structs.replace(gateway.deps, codec=Codec())
             answer = await support.ask(gateway)
-            return answer, gateway.tools.chooser.list_loads()
+            return answer, gateway.deps.chooser.list_loads()
 
     answer, loads = asyncio.run(run(support.make_route(ONCE)))
-    # It counted as sent when the fault came, so nothing is promised.
+    # The request already counted as sent, so it may have run.
     assert read_status(answer) == 502
     assert loads == {}
     assert "event=request_failed request=q" in caplog.text
     assert "ValueError: broken" in caplog.text
 
 
-def test_each_failed_attempt_is_told_with_what_followed(caplog) -> None:
-    play(support.make_route(REPEATABLE), [b""], [support.REFUSED])
+def test_each_failed_attempt_is_logged_with_the_next_step(caplog) -> None:
+    run_request(support.make_route(REPEATABLE), [b""], [support.REFUSED])
     told = re.findall(r"runner=(\w+) end=(\w+) .* sequel=(\w+)", caplog.text)
     assert told == [
         ("r0", "broken", "repeated"),
@@ -300,7 +304,7 @@
 
 
 def read_stream(answer: bytes) -> tuple[bytes, bool]:
-    """Returns the events of a chunked answer and whether it ended whole."""
+    """Returns the events of a chunked answer and whether it is complete."""
     body = answer.partition(b"\r\n\r\n")[2]
     events = b""
     while body:
@@ -313,18 +317,18 @@
     return events, False
 
 
-def test_events_come_in_order_and_whole() -> None:
-    answer, _ = play(support.make_route(STREAM), [WHOLE])
+def test_events_arrive_complete_and_in_order() -> None:
+    answer, _ = run_request(support.make_route(STREAM), [WHOLE])
     assert read_stream(answer) == (support.write_events(0, 4), True)
 
 
-def test_a_broken_stream_looks_broken() -> None:
-    answer, asked = play(support.make_route(STREAM), [HALF], [WHOLE])
+def test_a_broken_stream_is_not_terminated() -> None:
+    answer, asked = run_request(support.make_route(STREAM), [HALF], [WHOLE])
     assert answer == b"reset" or not read_stream(answer)[1]
     assert asked == [1, 0]
 
 
-def test_a_broken_stream_goes_on_elsewhere_where_it_may() -> None:
+def test_a_broken_stream_resumes_elsewhere_on_a_resumable_route() -> None:
     async def run():
         rest = support.write_stream(support.write_events(3, 4), whole=True)
         runners = support.Runner("r0", HALF), support.Runner("r1", rest)
@@ -337,39 +341,39 @@
     assert b"x-after: 2" in got[0]
 
 
-def test_events_that_came_before_are_left_out_of_a_resumed_stream() -> None:
+def test_events_already_forwarded_are_dropped_on_resumption() -> None:
     again = support.write_stream(support.write_events(1, 4), whole=True)
     route = support.make_route(STREAM, resumable=True)
-    answer, _ = play(route, [HALF], [again])
+    answer, _ = run_request(route, [HALF], [again])
     assert read_stream(answer) == (support.write_events(0, 4), True)
 
 
-def test_a_resumed_stream_with_a_gap_looks_broken() -> None:
+def test_a_resumed_stream_with_a_gap_is_not_terminated() -> None:
     gap = support.write_stream(support.write_events(4, 5), whole=True)
     route = support.make_route(STREAM, resumable=True)
-    answer, _ = play(route, [HALF], [gap])
+    answer, _ = run_request(route, [HALF], [gap])
     assert answer == b"reset" or not read_stream(answer)[1]
 
 
 def test_a_stream_that_ends_inside_an_event_is_broken() -> None:
     torn = support.write_stream(b"id: 0\ndata: t", whole=True)
-    answer, _ = play(support.make_route(STREAM), [torn])
+    answer, _ = run_request(support.make_route(STREAM), [torn])
     assert read_status(answer) == 502
 
 
-def test_a_stream_that_broke_before_its_first_event_promises_nothing() -> None:
+def test_a_stream_that_broke_before_its_first_event_gives_502() -> None:
     empty = support.write_stream(b"id: 0\nda", whole=False)
-    answer, asked = play(support.make_route(STREAM), [empty], [WHOLE])
+    answer, asked = run_request(support.make_route(STREAM), [empty], [WHOLE])
     assert read_status(answer) == 502
     assert asked == [1, 0]
 
 
-def play_restart(route: model.Route, opened_before: bool) -> tuple:
-    """The first runner starts again while it works on a request, in silence.
+def run_restart(route: model.Route, opened_before: bool) -> tuple:
+    """Restarts the first runner, in the registry, while it runs a request.
 
     Returns:
-        The caller's answer, how often each runner was asked, and seconds from
-        the news to the answer.
+        The caller's answer, the number of requests sent to each runner, and
+        seconds from the registry's update to the answer.
     """
 
     async def run():
@@ -400,25 +404,23 @@
     )
 
 
-def test_what_ran_at_an_ended_incarnation_goes_on_elsewhere_at_once() -> None:
+def test_a_request_at_an_old_incarnation_is_retried_at_once() -> None:
     route = make_patient_route(REPEATABLE)
-    answer, asked, took_s = play_restart(route, opened_before=True)
+    answer, asked, took_s = run_restart(route, opened_before=True)
     assert answer.endswith(b"good")
     assert asked == [1, 1] and took_s < 2.0
 
 
-def test_what_may_run_once_gets_its_final_answer_when_its_runner_restarts() -> (
-    None
-):
+def test_an_at_most_once_request_fails_when_its_runner_restarts() -> None:
     route = make_patient_route(ONCE)
-    answer, asked, took_s = play_restart(route, opened_before=True)
-    # It may have run, so it isn't told as not run.
+    answer, asked, took_s = run_restart(route, opened_before=True)
+    # The request may have run, so the status must not deny that.
     assert read_status(answer) == 502
     assert asked == [1, 0] and took_s < 2.0
 
 
-def test_what_runs_at_the_new_incarnation_is_left_alone() -> None:
+def test_a_request_at_the_new_incarnation_is_unaffected() -> None:
     route = support.make_route(ONCE, time_limit_s=0.5)
-    answer, asked, _ = play_restart(route, opened_before=False)
+    answer, asked, _ = run_restart(route, opened_before=False)
     assert read_status(answer) == 504
     assert asked == [1, 0]
--- a/pollenfork/gateway/tests/test_overload.py
+++ b/pollenfork/gateway/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What a request is told when its runner has too much to read."""
+"""Load shedding when the runner has too much prefill queued."""
 
 import asyncio
 import random
@@ -18,13 +18,13 @@
 STREAM = model.Kind.STREAM
 
 
-def play_loaded(loads, longest_s, streaks=None):
-    """Returns the answer, and what a runner got that has these loads.
+def run_loaded(loads, prefill_limit_s, streaks=None):
+    """Returns the answer, and the requests that the loaded runner received.
 
     Args:
-        loads: Tokens that it has to read, by look.
-        longest_s: Seconds in which the prompt must be read.
-        streaks: What was refused before.
+        loads: The runner's pending prefill tokens, at each query.
+        prefill_limit_s: Seconds within which the prompt must be processed.
+        streaks: Previous refusals.
     """
     looks = iter(loads)
 
@@ -35,8 +35,8 @@
         runner = support.Runner("r0", GOOD, GOOD)
         route = support.make_route(STREAM)
         async with support.run_gateway(route, runner) as gateway:
-            gateway.tools = msgspec.structs.replace(
-                gateway.tools,
+            gateway.deps = msgspec.structs.replace(
+                gateway.deps,
                 shed_streaks=streaks or load_shedding.ShedStreaks(),
                 chooser=choice.Chooser(
                     gateway.runners, random.Random(1), read_others
@@ -45,44 +45,45 @@
             gateway.demand = offers.Demand(
                 support.SERVICE, (fleet.Part(b"a", 9), fleet.Part(b"b", 566))
             )
-            gateway.longest_s = longest_s
+            gateway.prefill_limit_s = prefill_limit_s
             return await support.ask(gateway), runner.got
 
     return asyncio.run(run())
 
 
-def test_a_request_that_would_be_late_is_told_at_once_when_to_return() -> None:
-    answer, got = play_loaded([56_600] * 9, 0.5)
+def test_a_request_that_would_be_late_is_refused_with_retry_after() -> None:
+    answer, got = run_loaded([56_600] * 9, 0.5)
     assert answer.startswith(b"HTTP/1.1 503 ") and b"overloaded" in answer
-    # A second for what is there, and 575 tokens of its own.
+    # 1 s for the pending tokens, plus the request's own 575 tokens.
     assert b"retry-after: 1.01" in answer
     assert got == []
 
 
-def test_a_request_is_taken_on_after_several_refusals_in_a_row() -> None:
+def test_a_request_is_admitted_after_consecutive_refusals() -> None:
     streaks = load_shedding.ShedStreaks()
     for _ in range(5):
         streaks.admit_after_refusals(support.SERVICE, ids.Tier(0))
-    answer, got = play_loaded([56_600] * 9, 0.5, streaks)
+    answer, got = run_loaded([56_600] * 9, 0.5, streaks)
     assert answer.endswith(b"good") and len(got) == 1
 
 
-def test_a_request_that_was_tried_is_not_turned_away_later() -> None:
+def test_a_retry_is_not_shed() -> None:
     async def run():
         loads = iter([0, 56_600, 56_600, 56_600])
 
         def read_others(mark):
             return messages.Load(1, next(loads))
 
-        # The first runner refuses it; what the second has to read came later.
+        # The first runner refuses the request; the second one's load arrived
+        # after the request was admitted.
         runners = (
             support.Runner("r0", support.REFUSED),
             support.Runner("r1", GOOD),
         )
         route = support.make_route(STREAM)
         async with support.run_gateway(route, *runners) as gateway:
-            gateway.tools = msgspec.structs.replace(
-                gateway.tools,
+            gateway.deps = msgspec.structs.replace(
+                gateway.deps,
                 chooser=choice.Chooser(
                     gateway.runners, random.Random(1), read_others
                 ),
@@ -90,7 +91,7 @@
             gateway.demand = offers.Demand(
                 support.SERVICE, (fleet.Part(b"a", 9), fleet.Part(b"b", 566))
             )
-            gateway.longest_s = 0.5
+            gateway.prefill_limit_s = 0.5
             return await support.ask(gateway)
 
     assert asyncio.run(run()).endswith(b"good")
--- a/pollenfork/gateway/tests/test_permits.py
+++ b/pollenfork/gateway/tests/test_permits.py
@@ -22,8 +22,8 @@
 
 
 def find_rate(gateway, name: str) -> float | None:
-    seen = gateway.tools.chooser.find_standing(name)
-    return gateway.tools.permits.find_rate(seen.mark)
+    seen = gateway.deps.chooser.find_standing(name)
+    return gateway.deps.permits.find_rate(seen.mark)
 
 
 @run
@@ -80,7 +80,7 @@
     second = support.Runner("b", LIMITED, UNLIMITED)
     route = support.make_route(routes.Kind.REPEATABLE)
     async with support.run_gateway(route, first, second) as gateway:
-        gateway.tools.chooser.find_standing("a").failing = 0.0
+        gateway.deps.chooser.find_standing("a").failing = 0.0
         await support.ask(gateway)
         assert find_rate(gateway, "b") == 0.5
         first.script.insert(0, support.REFUSED)
@@ -112,10 +112,10 @@
     async with support.run_gateway(route, only) as gateway:
         await support.ask(gateway)
         assert find_rate(gateway, "a") == 0.5
-        grant = gateway.tools.chooser.choose(gateway.demand, set(), 0.0)
-        gateway.tools.chooser.settle(grant)
+        grant = gateway.deps.chooser.choose(gateway.demand, set(), 0.0)
+        gateway.deps.chooser.settle(grant)
         seen = grant.standing
-        gateway.tools.permits._limiter._blocks.forget(seen.mark)
+        gateway.deps.permits._limiter._blocks.forget(seen.mark)
         await support.ask(gateway)
         assert find_rate(gateway, "a") == 0.5
 
@@ -139,7 +139,7 @@
     async with support.run_gateway(route, only) as gateway:
         for _ in range(4):
             await support.ask(gateway)
-        seen = gateway.tools.chooser.find_standing("a")
+        seen = gateway.deps.chooser.find_standing("a")
     assert seen.failures == 0
     assert seen.failing == pytest.approx(0.0)
     assert seen.active == 0
