--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -1,18 +1,12 @@
-"""A runner whose entry is removed takes no more work, whoever lost the store.
-
-Seen: one instance's calls to the store failed for six seconds while the other
-instances' were answered. Just after its calls were answered again it read that
-a runner's entry had been removed. It and the two instances that asked it for
-the table went on giving that runner work for two seconds more, up to 2.2 s
-after the removal; the five others stopped within 0.7 s.
-
-How it came about: an entry that vanishes within 2 s of "the store is back" is
-kept, as it may have lapsed while nobody could renew it. But "back" was said by
-one instance of its own calls, although others' proof of the same store had
-reached it all the while, and it was passed on with the table.
-
-Proved by: `runner_kept` at those three instances alone, until 2 s after the
-first's `store_back`, and by these tests.
+"""A removed runner gets no more requests, even after a partial store outage.
+
+Guards against a runner that is used for 2 s after its removal: up to 2.2 s at
+three instances, while the five others stopped within 0.7 s. Entries that vanish
+within 2 s of the store's return are retained, since they may have expired while
+no instance could renew them. But one instance whose own calls had failed for
+six seconds took their success for the store's return, although the other
+instances' proofs of the same store had reached it all the time. It passed that
+on with the table to the two instances that asked it.
 """
 
 import asyncio
@@ -37,17 +31,17 @@
 
 
 class Store(test_following.Store):
-    """Turns its caller away while told to; the row is also a runner."""
+    """Refuses calls while told to; its row is also a runner."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rows = messages.Rows((messages.Row(_RUNNER, b"1", 1),), 1)
-        self.turns_away = False
+        self.refuses = False
         self.refused = 0
         self._held: list[asyncio.StreamWriter] = []
 
-    def turn_away(self) -> None:
-        self.turns_away = True
+    def refuse_calls(self) -> None:
+        self.refuses = True
         for writer in self._held:
             writer.close()
 
@@ -55,22 +49,22 @@
         self._held.append(writer)
         await super()._serve(reader, writer)
 
-    def serve_again(self) -> None:
-        self.turns_away = False
+    def accept_calls(self) -> None:
+        self.refuses = False
 
     def remove_the_runner(self) -> None:
         row = messages.Row(_RUNNER, b"", _REMOVED_AT, removed=True)
         self.rows = messages.Rows((row,), _REMOVED_AT)
 
     def read(self, status: int, body: bytes):
-        if self.turns_away:
+        if self.refuses:
             self.refused += 1
             return result.Err(messages.Trouble.REFUSED)
         return super().read(status, body)
 
 
 class Decoder(test_knowledge.Store):
-    """Reads the one row as a configuration and as a runner."""
+    """Decodes the one row as a configuration and as a runner."""
 
     def __init__(self, standin: Store) -> None:
         self.write_configuration_ask = standin.write
@@ -82,7 +76,7 @@
 
 
 class Instance:
-    """An instance with a way to the store of its own."""
+    """An instance with its own store server."""
 
     def __init__(self, standin: Store, address: settings.Address) -> None:
         self.loop = asyncio.get_running_loop()
@@ -95,16 +89,16 @@
         )
 
     @property
-    def knows_of_the_removal(self) -> bool:
+    def has_removal(self) -> bool:
         proof = self.known.write_proof(self.loop.time())
         return proof is not None and proof.runners == _REMOVED_AT
 
     @property
-    def takers(self) -> list[str]:
+    def usable_runners(self) -> list[str]:
         return test_knowledge.list_runners(self.known)
 
-    def hear_proof(self, news: int, age_s: float = 0.1) -> None:
-        """Hears from a relay elsewhere, which the store answers."""
+    def receive_proof(self, news: int, age_s: float = 0.1) -> None:
+        """Receives the proof of a relay elsewhere that reaches the store."""
         proof = loads.Proof(1, news, age_s)
         self.known.take_proof(proof, self.loop.time() - age_s, "elsewhere")
 
@@ -122,7 +116,7 @@
     instance = Instance(standin, await standin.start())
     tasks = instance.sources.start()
     try:
-        await instance.run_until(lambda: instance.takers == [_RUNNER])
+        await instance.run_until(lambda: instance.usable_runners == [_RUNNER])
         yield instance
     finally:
         for task in tasks:
@@ -131,7 +125,7 @@
 
 @contextlib.asynccontextmanager
 async def start_server(instance: Instance):
-    """Lets others ask an instance for what it knows."""
+    """Serves an instance's tables to other instances."""
     server = await instance.loop.create_server(
         tables.make_server(instance.sources.tables).make_connection, _HOST, 0
     )
@@ -141,40 +135,40 @@
         server.close()
 
 
-async def be_turned_away_alone(instance: Instance) -> None:
-    """Loses the store for some calls while others' proof keeps arriving."""
+async def fail_own_calls(instance: Instance) -> None:
+    """Fails some calls to the store while other instances' proofs arrive."""
     standin = instance.standin
-    standin.turn_away()
+    standin.refuse_calls()
     await instance.run_until(
-        lambda: standin.refused >= 4, lambda: instance.hear_proof(1)
+        lambda: standin.refused >= 4, lambda: instance.receive_proof(1)
     )
     standin.remove_the_runner()
-    standin.serve_again()
+    standin.accept_calls()
     await instance.run_until(
-        lambda: instance.knows_of_the_removal, lambda: instance.hear_proof(1)
+        lambda: instance.has_removal, lambda: instance.receive_proof(1)
     )
 
 
-def test_the_return_of_one_instance_is_not_the_stores() -> None:
-    async def course():
+def test_recovery_of_one_instances_calls_is_not_the_stores_return() -> None:
+    async def run():
         async with start_instance() as instance:
-            await be_turned_away_alone(instance)
-            assert instance.takers == []
+            await fail_own_calls(instance)
+            assert instance.usable_runners == []
 
-    asyncio.run(course())
+    asyncio.run(run())
 
 
-def test_those_that_ask_such_an_instance_drop_the_runner_too() -> None:
-    async def course():
+def test_instances_that_fetch_its_table_drop_the_runner_too() -> None:
+    async def run():
         async with start_instance() as relay, start_instance() as reporter:
-            await be_turned_away_alone(relay)
-            reporter.standin.turn_away()
+            await fail_own_calls(relay)
+            reporter.standin.refuse_calls()
             async with start_server(relay) as address:
                 reporter.others.relay = address
                 await reporter.run_until(
-                    lambda: reporter.knows_of_the_removal,
-                    lambda: reporter.hear_proof(_REMOVED_AT),
+                    lambda: reporter.has_removal,
+                    lambda: reporter.receive_proof(_REMOVED_AT),
                 )
-            assert reporter.takers == []
+            assert reporter.usable_runners == []
 
-    asyncio.run(course())
+    asyncio.run(run())
