--- a/pollenfork/gateway/tests/test_callers.py
+++ b/pollenfork/gateway/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers' bytes: what is read as a request, and what is refused."""
+"""Parsing of callers' requests, and the limits on them."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class Front:
-    """A listener that answers each request with what it read."""
+    """A listener that echoes the body of each request."""
 
     def __init__(self) -> None:
         self.calls = []
@@ -46,7 +46,7 @@
 
 
 def send(*pieces: bytes, eof: bool = False) -> tuple[bytes, list]:
-    """Returns all that comes back until the listener closes."""
+    """Sends bytes; returns the response and the parsed requests."""
 
     async def run():
         async with Front() as front:
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("rest", SMUGGLED.values(), ids=SMUGGLED)
-def test_what_two_readers_could_read_differently_is_refused(rest) -> None:
+def test_ambiguous_message_framing_is_refused(rest) -> None:
     answer, calls = send(b"POST /a HTTP/1.1\r\nhost: h\r\n" + rest)
     assert read_status(answer) == 400
     assert calls == []
@@ -116,13 +116,13 @@
 
 
 @pytest.mark.parametrize("junk", [b"\x16\x03\x01\x02", b"GET\r\n\r\n", b"\0"])
-def test_bytes_that_are_no_request_are_refused(junk) -> None:
+def test_malformed_requests_are_refused(junk) -> None:
     answer, calls = send(junk)
     assert read_status(answer) == 400
     assert calls == []
 
 
-def test_limits_on_header_and_body_are_kept() -> None:
+def test_limits_on_header_and_body_are_enforced() -> None:
     big = b"GET /a HTTP/1.1\r\nhost: h\r\nx: " + b"a" * 400 + b"\r\n\r\n"
     assert read_status(send(big)[0]) == 431
     head = b"POST /a HTTP/1.1\r\nhost: h\r\n"
@@ -132,13 +132,13 @@
     assert read_status(send(chunk)[0]) == 413
 
 
-def test_a_slow_sender_is_told_that_nothing_ran() -> None:
+def test_a_slow_request_is_answered_with_status_408() -> None:
     answer, calls = send(b"GET /a HTTP/1.1\r\nhost")
     assert read_status(answer) == 408
     assert calls == []
 
 
-def test_an_idle_connection_is_closed_without_a_word() -> None:
+def test_an_idle_connection_is_closed_without_a_response() -> None:
     answer, _ = send(b"")
     assert answer == b""
 
@@ -153,12 +153,12 @@
     assert len(calls) == 3
 
 
-def test_http_1_0_ends_with_its_answer() -> None:
+def test_an_http_1_0_connection_closes_after_its_response() -> None:
     answer, _ = send(b"GET / HTTP/1.0\r\nhost: h\r\n\r\n")
     assert answer.endswith(b"empty")
 
 
-def test_an_expectation_is_met() -> None:
+def test_expect_100_continue_is_answered() -> None:
     answer, _calls = send(
         b"POST / HTTP/1.1\r\nhost: h\r\nexpect: 100-continue\r\n"
         + CLOSE
@@ -177,7 +177,7 @@
     assert read_status(answer) in (200, 400)
 
 
-def test_a_caller_that_leaves_cancels_what_serves_it() -> None:
+def test_a_disconnect_cancels_the_request() -> None:
     async def run():
         async with Front() as front:
             front.hold.clear()
@@ -194,7 +194,7 @@
     assert asyncio.run(run()) == 1
 
 
-def test_a_stop_ends_connections_with_their_answers() -> None:
+def test_connections_close_after_their_responses_on_shutdown() -> None:
     async def run():
         async with Front() as front:
             front.hold.clear()
--- a/pollenfork/gateway/tests/test_events.py
+++ b/pollenfork/gateway/tests/test_events.py
@@ -27,35 +27,35 @@
     assert not splitter.partial
 
 
-def test_part_of_an_event_is_kept_back() -> None:
+def test_an_incomplete_event_is_buffered() -> None:
     splitter = events.EventSplitter()
     assert splitter.feed(b"id: 0\nda") == b""
     assert splitter.partial
     assert splitter.feed(b"ta: x\n\nid: 1") == b"id: 0\ndata: x\n\n"
 
 
-def test_an_event_that_is_left_out_is_noticed() -> None:
+def test_a_missing_event_is_an_error() -> None:
     splitter = events.EventSplitter()
     splitter.feed(write(0, 2))
     with pytest.raises(events.StreamError):
         splitter.feed(write(4, 4))
 
 
-def test_after_a_restart_known_events_are_left_out() -> None:
+def test_events_already_forwarded_are_dropped_after_a_restart() -> None:
     splitter = events.EventSplitter()
     splitter.feed(write(0, 2) + b"id: 3\nda")
     splitter.restart()
     assert splitter.feed(write(1, 3)) == write(3, 3)
 
 
-def test_an_event_that_never_ends_is_given_up() -> None:
+def test_an_event_above_the_size_limit_is_an_error() -> None:
     splitter = events.EventSplitter()
     with pytest.raises(events.StreamError):
         for _ in range(20):
             splitter.feed(b"a" * 100_000)
 
 
-def test_line_ends_of_either_kind_are_known() -> None:
+def test_crlf_line_ends_are_accepted() -> None:
     splitter = events.EventSplitter()
     text = b"id: 0\r\ndata: x\r\n\r\n"
     assert splitter.feed(text) == text
--- a/pollenfork/gateway/tests/test_load_shedding.py
+++ b/pollenfork/gateway/tests/test_load_shedding.py
@@ -22,7 +22,7 @@
     return load_shedding.find_prefill_limit(route, tiers, demand, favoured)
 
 
-def test_the_most_urgent_are_never_refused() -> None:
+def test_the_most_urgent_tier_is_never_shed() -> None:
     assert find_prefill_limit(0) is None
 
 
@@ -30,24 +30,24 @@
     ("demand", "tiers"),
     [(LONG, TIERS[2:]), (offers.Demand(support.SERVICE), TIERS)],
 )
-def test_without_others_or_a_prompt_nothing_is_refused(demand, tiers) -> None:
+def test_nothing_is_shed_without_other_tiers_or_a_prompt(demand, tiers) -> None:
     assert find_prefill_limit(2, demand, tiers) is None
 
 
-def test_without_a_target_nothing_is_refused() -> None:
+def test_nothing_is_shed_without_a_target() -> None:
     assert find_prefill_limit(2, target_s=0.0) is None
 
 
-def test_less_urgent_prompts_are_not_taken_on_to_be_late() -> None:
+def test_less_urgent_tiers_have_a_prefill_limit() -> None:
     assert find_prefill_limit(1) == pytest.approx(2.0)
     assert find_prefill_limit(2) == pytest.approx(0.7)
 
 
-def test_a_more_urgent_account_is_refused_later() -> None:
+def test_a_favoured_account_has_a_higher_limit() -> None:
     assert find_prefill_limit(2, favoured=True) == pytest.approx(2.0)
 
 
-def test_a_tier_is_not_refused_for_good() -> None:
+def test_a_tier_is_not_starved() -> None:
     streaks = load_shedding.ShedStreaks()
     taken = [
         streaks.admit_after_refusals(support.SERVICE, ids.Tier(2))
@@ -56,7 +56,7 @@
     assert taken == ([False] * 5 + [True]) * 3
 
 
-def test_refusals_between_others_are_not_in_a_row() -> None:
+def test_an_admission_resets_the_count_of_refusals() -> None:
     streaks = load_shedding.ShedStreaks()
     for _ in range(4):
         for _ in range(5):
--- a/pollenfork/gateway/tests/test_pool.py
+++ b/pollenfork/gateway/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections of all instances leave room at each runner."""
+"""Limits on idle connections, so that each runner keeps spare capacity."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Connection:
-    """One that may be used again."""
+    """A reusable connection."""
 
     usable = True
     idle_since = 0.0
@@ -23,7 +23,7 @@
 
 
 def keep(accepted: int, instances: int, count: int) -> int:
-    """Returns how many of some connections are kept."""
+    """Returns how many of the returned connections the pool keeps."""
 
     async def run() -> int:
         made = pool.Pool(asyncio.get_running_loop())
@@ -36,22 +36,22 @@
     return asyncio.run(run())
 
 
-# What was seen: after all instances had lost power, plain runners reset what
-# they sent for 4 s. How it came about: the connections of before stayed open
-# there, as nobody could close them, and with the new ones there were more than
-# a runner accepts. Cause: each instance kept up to 16 idle ones to each runner,
-# whatever that accepts and however many instances there are. Proof: 82 resets
-# within 4 s on a played day, at the two runners that counted 210 too many.
-def test_those_from_before_a_loss_of_power_and_the_new_ones_fit_in() -> None:
+# Guards against connection resets after all instances lose power at once. Their
+# old connections stay open at the runners, since nothing closes them, and must
+# fit together with the new ones into what a runner accepts. When each instance
+# kept up to 16 idle connections to each runner, regardless of the number of
+# instances, a simulated day had 82 resets within 4 s, at two runners with 210
+# connections too many.
+def test_connections_fit_twice_after_a_power_loss_of_all_instances() -> None:
     for accepted, instances in ((520, 76), (780, 76), (110, 8), (96, 6)):
         kept = keep(accepted, instances, 40)
         assert kept >= 1
         assert 2 * kept * instances <= accepted
 
 
-def test_no_more_than_that_are_kept_where_runners_accept_many() -> None:
+def test_idle_connections_are_limited_if_runners_accept_many() -> None:
     assert keep(100_000, 3, 40) == 16
 
 
-def test_one_is_kept_however_many_instances_there_are() -> None:
+def test_at_least_one_connection_is_kept_with_many_instances() -> None:
     assert keep(100, 360, 5) == 1
