--- a/pollenfork/gateway/attempt.py
+++ b/pollenfork/gateway/attempt.py
@@ -88,7 +88,7 @@
     Attributes:
         done: Resolves with the result of the attempt.
         phase: How much of the answer has arrived.
-        heard_at: Monotonic seconds of the last head or event received.
+        last_data_at: Monotonic seconds of the last head or event received.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self._size = 0
         self.done: asyncio.Future[AttemptResult] = loop.create_future()
         self.phase = Phase.WAITING
-        self.heard_at = loop.time()
+        self.last_data_at = loop.time()
 
     def on_head(self, status: int, headers: list[messages.Header]) -> bool:
         """Handles the head; returns False if it answers another request."""
@@ -120,7 +120,7 @@
             return False
         self._head = head
         self.phase = Phase.HEAD
-        self.heard_at = self._loop.time()
+        self.last_data_at = self._loop.time()
         if self._on_head is not None:
             self._on_head(head)
         return True
@@ -181,7 +181,7 @@
 
     def _forward(self, complete: bytes) -> None:
         assert self._relay is not None and self._head is not None
-        self.heard_at = self._loop.time()
+        self.last_data_at = self._loop.time()
         if self.phase is not Phase.STREAMING:
             self.phase = Phase.STREAMING
             self._on_first_output()
--- a/pollenfork/gateway/client.py
+++ b/pollenfork/gateway/client.py
@@ -100,9 +100,9 @@
             self._connection = None
 
     async def _connect(self) -> connection.Connection:
-        kept = self._connection
-        if kept is not None and kept.usable:
-            return kept
+        existing = self._connection
+        if existing is not None and existing.usable:
+            return existing
         self.close()
         connecting = self._loop.create_connection(
             lambda: connection.Connection(self._loop), *self.address
--- a/pollenfork/gateway/crash_probes.py
+++ b/pollenfork/gateway/crash_probes.py
@@ -63,34 +63,34 @@
         self._pool = connections
         self._evidence = found
         self._quarantine = suspected
-        # Keyed by the mark of a runner's incarnation at its address.
+        # Keyed by the hash of a runner's incarnation and address.
         self._probes: dict[int, CrashProbe] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def probe(self, runner: fleet.Runner) -> CrashProbe:
         """Starts a probe, unless one is in progress; returns it."""
-        place = evidence.mark(runner)
-        known = self._probes.get(place)
+        runner_hash = evidence.mark(runner)
+        known = self._probes.get(runner_hash)
         if known is not None:
             return known
         loop = asyncio.get_running_loop()
         started = CrashProbe(loop.create_future(), loop.create_future())
-        self._probes[place] = started
+        self._probes[runner_hash] = started
         task = loop.create_task(self._run_probe(runner, started))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return started
 
-    async def wait_completed(self, places: Iterable[int]) -> None:
+    async def wait_completed(self, runner_hashes: Iterable[int]) -> None:
         """Waits until the probes in progress at some runners are completed.
 
         Args:
-            places: The marks of the runners' incarnations at their addresses.
+            runner_hashes: Hashes of the runners' incarnations and addresses.
         """
         waiting = [
-            self._probes[place].completed
-            for place in places
-            if place in self._probes
+            self._probes[runner_hash].completed
+            for runner_hash in runner_hashes
+            if runner_hash in self._probes
         ]
         if waiting:
             await asyncio.wait(waiting, timeout=_PROBE_TIMEOUT_S)
@@ -117,8 +117,8 @@
                 self._pool.release(runner, opened.ok_value)
             else:
                 # Later than all connections that broke there meanwhile.
-                ended_by = asyncio.get_running_loop().time()
-                self._quarantine.note_dropped(runner, ended_by)
+                crashed_by = asyncio.get_running_loop().time()
+                self._quarantine.note_dropped(runner, crashed_by)
         finally:
             del self._probes[evidence.mark(runner)]
             for pending in (started.connected, started.completed):
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -183,9 +183,9 @@
     ) -> result.Result[connection.Connection, pool.Unreachable]:
         idempotent = self._admitted.route.idempotent
         freshness = pool.Freshness.ANY if idempotent else pool.Freshness.RECENT
-        kept = self._deps.pool.acquire(runner, freshness)
-        if kept is not None:
-            return result.Ok(kept)
+        pooled = self._deps.pool.acquire(runner, freshness)
+        if pooled is not None:
+            return result.Ok(pooled)
         return await self._deps.pool.open(runner, max(0.0, self._remaining_s()))
 
     async def _send(
--- a/pollenfork/gateway/pool.py
+++ b/pollenfork/gateway/pool.py
@@ -101,13 +101,13 @@
         self, runner: fleet.Runner, freshness: Freshness
     ) -> connection.Connection | None:
         """Returns an idle connection that may be used, if there is one."""
-        kept = self._idle.get(runner.incarnation)
-        while kept:
-            found = kept.pop()
-            if self._is_usable(found, freshness):
+        idle = self._idle.get(runner.incarnation)
+        while idle:
+            candidate = idle.pop()
+            if self._is_usable(candidate, freshness):
                 self.counters.reused += 1
-                return found
-            found.abort()
+                return candidate
+            candidate.abort()
         return None
 
     async def open(
@@ -146,18 +146,18 @@
         self, runner: fleet.Runner, used: connection.Connection
     ) -> None:
         """Returns a connection to the pool, or closes it."""
-        kept = self._idle.setdefault(runner.incarnation, [])
+        idle = self._idle.setdefault(runner.incarnation, [])
         limit = self._limits.get(runner.service, _MAX_IDLE)
-        if not used.usable or len(kept) >= limit:
+        if not used.usable or len(idle) >= limit:
             used.abort()
             return
-        kept.append(used)
+        idle.append(used)
 
     def close_idle(self, runner: ids.EndpointId) -> None:
         """Closes the idle connections to a runner."""
         for incarnation in [each for each in self._idle if each.id == runner]:
-            for kept in self._idle.pop(incarnation):
-                kept.abort()
+            for idle in self._idle.pop(incarnation):
+                idle.abort()
 
     def mark_busy(
         self, runner: fleet.Runner, used: connection.Connection
@@ -191,14 +191,14 @@
 
     def close_expired(self) -> None:
         """Closes connections that have been idle for too long."""
-        for kept in self._idle.values():
+        for idle in self._idle.values():
             usable = [
-                each for each in kept if self._is_usable(each, Freshness.ANY)
+                each for each in idle if self._is_usable(each, Freshness.ANY)
             ]
-            for each in kept:
+            for each in idle:
                 if each not in usable:
                     each.abort()
-            kept[:] = usable
+            idle[:] = usable
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -206,13 +206,13 @@
             self.close_idle(runner)
 
     def _is_usable(
-        self, found: connection.Connection, freshness: Freshness
+        self, candidate: connection.Connection, freshness: Freshness
     ) -> bool:
-        if not found.usable:
+        if not candidate.usable:
             return False
         limit_s = _MAX_IDLE_S
-        if found.idle_limit_s is not None:
-            limit_s = min(limit_s, found.idle_limit_s - _IDLE_MARGIN_S)
+        if candidate.idle_limit_s is not None:
+            limit_s = min(limit_s, candidate.idle_limit_s - _IDLE_MARGIN_S)
         if freshness is Freshness.RECENT:
             limit_s = min(limit_s, _RECENT_IDLE_S)
-        return self._loop.time() - found.idle_since < limit_s
+        return self._loop.time() - candidate.idle_since < limit_s
--- a/pollenfork/gateway/tests/test_exchange.py
+++ b/pollenfork/gateway/tests/test_exchange.py
@@ -287,8 +287,8 @@
 
 def test_each_failed_attempt_is_logged_with_the_next_step(caplog) -> None:
     run_request(support.make_route(REPEATABLE), [b""], [support.REFUSED])
-    told = re.findall(r"runner=(\w+) end=(\w+) .* sequel=(\w+)", caplog.text)
-    assert told == [
+    logged = re.findall(r"runner=(\w+) end=(\w+) .* sequel=(\w+)", caplog.text)
+    assert logged == [
         ("r0", "broken", "repeated"),
         ("r1", "refused", "attempts_spent"),
     ]
--- a/pollenfork/gateway/tests/test_pool.py
+++ b/pollenfork/gateway/tests/test_pool.py
@@ -22,7 +22,7 @@
         self.ended = True
 
 
-def keep(accepted: int, instances: int, count: int) -> int:
+def count_kept(accepted: int, instances: int, count: int) -> int:
     """Returns how many of the returned connections the pool keeps."""
 
     async def run() -> int:
@@ -44,14 +44,14 @@
 # connections too many.
 def test_connections_fit_twice_after_a_power_loss_of_all_instances() -> None:
     for accepted, instances in ((520, 76), (780, 76), (110, 8), (96, 6)):
-        kept = keep(accepted, instances, 40)
+        kept = count_kept(accepted, instances, 40)
         assert kept >= 1
         assert 2 * kept * instances <= accepted
 
 
 def test_idle_connections_are_limited_if_runners_accept_many() -> None:
-    assert keep(100_000, 3, 40) == 16
+    assert count_kept(100_000, 3, 40) == 16
 
 
 def test_at_least_one_connection_is_kept_with_many_instances() -> None:
-    assert keep(100, 360, 5) == 1
+    assert count_kept(100, 360, 5) == 1
--- a/pollenfork/gateway/timeouts.py
+++ b/pollenfork/gateway/timeouts.py
@@ -74,4 +74,4 @@
         pause_s = self.gap_s if flowing else self.first_s
         if pause_s is None:
             return self.deadline
-        return min(self.deadline, running.heard_at + pause_s)
+        return min(self.deadline, running.last_data_at + pause_s)
