--- a/benchmarks/ablations.py
+++ b/benchmarks/ablations.py
@@ -19,9 +19,9 @@
 from pollenfork.fleet import retry_budget
 from pollenfork.fleet import runner_state
 from pollenfork.gateway import cache_feed
-from pollenfork.gateway import patience
+from pollenfork.gateway import load_shedding
 from pollenfork.gateway import peers
-from pollenfork.gateway import refusals
+from pollenfork.gateway import timeouts
 from pollenfork.loads import gossip
 from pollenfork.loads import messages as loads
 
@@ -57,7 +57,9 @@
     "runners-kept-apart": (
         Switch(candidates, "reserve_runners", lambda demand, found: found),
     ),
-    "early-refusals": (Switch(refusals, "find_longest", _do_nothing),),
+    "early-refusals": (
+        Switch(load_shedding, "find_prefill_limit", _do_nothing),
+    ),
     "news-of-caches": (Switch(cache_feed.CacheFeed, "check", _do_nothing),),
     "shared-placements": (
         Switch(choice.Chooser, "take_placements", _give([])),
@@ -84,8 +86,8 @@
     "out-of-reach": (Switch(runner_state, "_UNREACHABLE_FAILURES", _NEVER),),
     "repeats": (Switch(retry_budget.RetryBudget, "try_take", _give(False)),),
     "patience": (
-        Switch(patience, "_SILENT_TARGETS", _NEVER),
-        Switch(patience, "_SILENT_GAPS", _NEVER),
+        Switch(timeouts, "_FIRST_RESPONSE_FACTOR", _NEVER),
+        Switch(timeouts, "_GAP_FACTOR", _NEVER),
     ),
 }
 
--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -1,12 +1,12 @@
-"""Whether a request may be served, and as what."""
+"""Decides whether a request is admitted, and under which route and account."""
 
 import result
 
 from pollenfork.fleet import candidates
 from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
+from pollenfork.gateway import load_shedding
 from pollenfork.gateway import messages
-from pollenfork.gateway import refusals
 from pollenfork.gateway import replies
 from pollenfork.poison import digests
 from pollenfork.routes import lookup
@@ -15,22 +15,22 @@
 _Reason = replies.Reason
 Refusal = replies.Refusal
 
-# A caller turned away by one instance usually finds another that can serve.
-_ELSEWHERE_S = 0.1
+# A caller refused by one instance usually finds another that can serve it.
+_RETRY_AFTER_S = 0.1
 
 
 def admit(
     known: cluster_state.ClusterState,
-    call: messages.Call,
-    head: messages.CallHead,
+    call: messages.Request,
+    head: messages.RequestHead,
     now: float,
-) -> result.Result[context.Admitted, replies.Refusal]:
-    """Finds a request's route, account, service and time.
+) -> result.Result[context.AdmittedRequest, replies.Refusal]:
+    """Determines a request's route, account, service and deadline.
 
     Args:
-        known: What is known of the configuration.
+        known: The instance's view of the configuration.
         call: The request.
-        head: What its headers say.
+        head: Values decoded from its headers.
         now: Monotonic seconds.
     """
     found = known.lookup
@@ -56,12 +56,12 @@
 
 def _admit(
     found: lookup.Lookup,
-    call: messages.Call,
-    head: messages.CallHead,
+    call: messages.Request,
+    head: messages.RequestHead,
     route: routes.Route,
     account: routes.Account | None,
     age_s: float,
-) -> context.Admitted:
+) -> context.AdmittedRequest:
     limit_s = route.time_limit_s
     if head.wait_s is not None:
         limit_s = min(limit_s, head.wait_s)
@@ -73,40 +73,40 @@
     demand = candidates.RequestProfile(
         service, head.parts, quick, known.copy_s if known else None, tier
     )
-    return context.Admitted(
+    return context.AdmittedRequest(
         call=call,
         head=head,
         route=route,
         demand=demand,
-        longest_s=refusals.find_longest(
+        prefill_limit_s=load_shedding.find_prefill_limit(
             route, tiers, demand, found.is_favoured(account)
         ),
         account=account,
         tier=tier,
         version=found.configuration.version,
         age_s=age_s,
-        until=call.arrived + limit_s,
+        deadline=call.arrived + limit_s,
         digest=digests.compute(
             account.id if account else None, call.method, call.target, call.body
         ),
     )
 
 
-def find_host(call: messages.Call) -> str:
-    """Returns the host that a request names; empty where it names none."""
+def find_host(call: messages.Request) -> str:
+    """Returns the value of the host header, or an empty string."""
     for name, value in call.headers:
         if name == b"host":
             return value.decode("latin-1")
     return ""
 
 
-def find_path(call: messages.Call) -> str:
+def find_path(call: messages.Request) -> str:
     """Returns a request's path without its query."""
     return call.target.partition(b"?")[0].decode("latin-1")
 
 
 def _refuse(
     status: int, reason: _Reason
-) -> result.Result[context.Admitted, replies.Refusal]:
-    retry_after_s = _ELSEWHERE_S if status == 503 else None
+) -> result.Result[context.AdmittedRequest, replies.Refusal]:
+    retry_after_s = _RETRY_AFTER_S if status == 503 else None
     return result.Err(Refusal(status, reason, retry_after_s))
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -21,11 +21,11 @@
 from pollenfork.gateway import cluster_state
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
+from pollenfork.gateway import crash_probes
 from pollenfork.gateway import duty_agent
 from pollenfork.gateway import edges
-from pollenfork.gateway import endings
-from pollenfork.gateway import intake
 from pollenfork.gateway import limit_events
+from pollenfork.gateway import load_shedding
 from pollenfork.gateway import peers
 from pollenfork.gateway import permits
 from pollenfork.gateway import pool
@@ -33,7 +33,7 @@
 from pollenfork.gateway import quarantine_page
 from pollenfork.gateway import quarantine_store
 from pollenfork.gateway import readiness
-from pollenfork.gateway import refusals
+from pollenfork.gateway import request_handler
 from pollenfork.gateway import scaler
 from pollenfork.gateway import scrape
 from pollenfork.gateway import settings
@@ -130,19 +130,19 @@
         self._quarantine_store = quarantine_store.QuarantineStore(
             config.store, store, suspected, time.time
         )
-        self._tools = context.Tools(
+        self._tools = context.Dependencies(
             loop=self._loop,
             rng=rng,
             codec=codec,
             chooser=chooser,
             evidence=found,
-            endings=endings.Endings(
+            crash_probes=crash_probes.CrashProbes(
                 connections, found, suspected, chooser.get_state
             ),
-            suspected=suspected,
+            request_quarantine=suspected,
             limit_events=limit_events.LimitEvents(),
             permits=granted,
-            note_begun=(
+            record_started=(
                 self._duty_agent.accounts.record_started
                 if self._duty_agent
                 else _count_nothing
@@ -150,15 +150,15 @@
             claim_trial=self._quarantine_store.claim_trial,
             pool=connections,
             prober=probing.Prober(connections, self.known.runners, rng),
-            repeats=retry_budget.RetryBudget(
+            retry_budget=retry_budget.RetryBudget(
                 config.retry_ratio, config.retry_window_s, config.retry_extra
             ),
-            turns=refusals.Turns(),
+            shed_streaks=load_shedding.ShedStreaks(),
             counters=self.counters,
             read_loads_age=self._read_loads_age,
         )
-        suspected.when_probe_needed(self._tools.endings.try_runner)
-        connections.follow(self.known.runners)
+        suspected.when_probe_needed(self._tools.crash_probes.probe)
+        connections.watch_registry(self.known.runners)
         self.known.runners.when_gone(self._tools.limit_events.forget)
         self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
         self._sources = sources.Sources(config.store, store, self.known, rng)
@@ -186,7 +186,7 @@
         self.counters.when_scraped(self._show_state)
         if self._duty_agent is not None:
             self.counters.when_scraped(self._duty_agent.show)
-        request_handler = intake.Intake(
+        request_handler = request_handler.RequestHandler(
             self._tools, self.known, self._readiness
         )
         self._front = callers.Server(self._loop, request_handler.serve)
@@ -249,7 +249,7 @@
             self._tools.chooser,
             self.known,
             self._tools.evidence,
-            self._tools.suspected,
+            self._tools.request_quarantine,
             self._settings.data_centre,
         )
         _, joined = await self._loop.create_datagram_endpoint(
@@ -261,7 +261,7 @@
         joined.on_limits(self._tools.permits.receive)
         joined.when_ticked(self._tools.permits.tick)
         self._tools.chooser.when_long(joined.announce_soon)
-        self._tools.suspected.when_urgent(joined.flush_suspicions)
+        self._tools.request_quarantine.when_urgent(joined.flush_suspicions)
         self._peers = joined
         if self._duty_agent is not None:
             self._duty_agent.join(joined)
@@ -287,21 +287,21 @@
         while True:
             await asyncio.sleep(_SWEEP_S)
             self._share_budgets()
-            self._tools.pool.sweep()
+            self._tools.pool.close_expired()
             now = self._loop.time()
             self.known.expire_runners(now)
-            self._tools.suspected.sweep(now)
+            self._tools.request_quarantine.sweep(now)
             self._readiness.check(now)
 
     def _share_budgets(self) -> None:
         found = self.known.lookup
         if found is None or self._peers is None:
             return
-        self._tools.repeats.set_instances(
+        self._tools.retry_budget.set_instances(
             self._peers.instances, self._loop.time()
         )
         for service in found.configuration.services.values():
-            self._tools.pool.share(
+            self._tools.pool.set_accepted(
                 service.name, service.connections, self._peers.instances
             )
 
@@ -324,7 +324,7 @@
         changes = self._settings.find_changes(read.ok_value)
         config = self._settings = self._settings.with_reloadable(read.ok_value)
         self.known.freshness.set_bound(config.revocation_s)
-        self._tools.repeats.set_limits(
+        self._tools.retry_budget.set_limits(
             config.retry_ratio, config.retry_window_s, config.retry_extra
         )
         if self._peers is not None:
@@ -363,7 +363,7 @@
             task.cancel()
         self._cache_feed.close()
         self._tools.prober.close()
-        self._tools.endings.close()
+        self._tools.crash_probes.close()
         self._tools.pool.close()
 
     def _show_state(self, shown: "metrics.Metrics") -> None:
--- a/pollenfork/gateway/attempt.py
+++ b/pollenfork/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request at one runner, and what comes back."""
+"""One attempt to have a request answered by one runner."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,157 +13,164 @@
 from pollenfork.gateway import messages
 from pollenfork.loads import messages as loads
 
-# Plain answers are kept whole before they are passed on.
-_LARGEST_ANSWER = 16 << 20
+# Answers that aren't streamed are buffered whole before they are forwarded.
+_MAX_ANSWER_BYTES = 16 << 20
 
 End = fleet_messages.End
 
 
 class Phase(enum.Enum):
-    """How far an answer has come."""
+    """How much of the answer has arrived."""
 
     WAITING = "waiting"
     HEAD = "head"
-    FLOWING = "flowing"
+    STREAMING = "flowing"
     ENDED = "ended"
 
 
-class Ended(msgspec.Struct, frozen=True):
+class AttemptResult(msgspec.Struct, frozen=True):
     """How an attempt ended.
 
     Attributes:
-        end: How.
-        head: The runner's head, if any came.
-        body: The body of a plain answer.
-        breach: What broke it.
-        nobody: Whether nobody listens at the runner's address.
+        end: The kind of end.
+        head: The head of the runner's answer, if one arrived.
+        body: The body of an answer that isn't streamed.
+        failure: Why the answer is incomplete.
+        connection_refused: Whether the runner's host refused the connection.
     """
 
     end: End
-    head: messages.AnswerHead | None = None
+    head: messages.ResponseHead | None = None
     body: bytes = b""
-    breach: connection.Breach | None = None
-    nobody: bool = False
+    failure: connection.ResponseFailure | None = None
+    connection_refused: bool = False
 
     @property
-    def is_cut(self) -> bool:
-        """Whether its connection ended before the answer did."""
-        cuts = connection.Breach.CLOSED, connection.Breach.RESET
-        return self.end is End.BROKEN and self.breach in cuts
+    def connection_lost(self) -> bool:
+        """Whether the connection was closed before the answer was complete."""
+        losses = (
+            connection.ResponseFailure.CLOSED,
+            connection.ResponseFailure.RESET,
+        )
+        return self.end is End.BROKEN and self.failure in losses
 
     @property
     def sign(self) -> loads.Symptom | None:
-        """What it shows of the runner's address, for other instances too."""
+        """What it shows about the runner's address, for all instances."""
         if self.end is End.DISPLACED:
             return loads.Symptom.DISPLACED
         if self.end is not End.UNSENT:
             return None
-        return loads.Symptom.REFUSED if self.nobody else loads.Symptom.SILENT
+        return (
+            loads.Symptom.REFUSED
+            if self.connection_refused
+            else loads.Symptom.SILENT
+        )
 
 
-class Relay(msgspec.Struct):
-    """The caller's side of a stream, across its attempts.
+class StreamRelay(msgspec.Struct):
+    """Forwards a stream to the caller; kept across the request's attempts.
 
     Attributes:
-        cutter: Knows which events have been passed on.
-        begin: Called with the runner's head before the first event.
-        write: Called with whole events.
-        begun: Whether the caller has the head.
+        splitter: Tracks which events have been forwarded.
+        begin: Called with the runner's response head before the first event.
+        write: Called with complete events.
+        begun: Whether the head has been sent to the caller.
     """
 
-    cutter: events.EventCutter
-    begin: Callable[[messages.AnswerHead], None]
+    splitter: events.EventSplitter
+    begin: Callable[[messages.ResponseHead], None]
     write: Callable[[bytes], None]
     begun: bool = False
 
 
 class Attempt:
-    """Takes the answer from the connection.
+    """Receives the answer of one attempt from its connection.
 
     Attributes:
-        done: Resolves with how it ended.
-        phase: How far it has come.
-        heard_at: Monotonic seconds of the last sign of the runner's work.
+        done: Resolves with the result of the attempt.
+        phase: How much of the answer has arrived.
+        last_data_at: Monotonic seconds of the last head or event received.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         codec: edges.Codec,
-        call: messages.CallHead,
-        relay: Relay | None,
-        on_first: Callable[[], None],
-        on_head: Callable[[messages.AnswerHead], None] | None = None,
+        request: messages.RequestHead,
+        relay: StreamRelay | None,
+        on_first_output: Callable[[], None],
+        on_head: Callable[[messages.ResponseHead], None] | None = None,
     ) -> None:
         self._loop = loop
         self._codec = codec
-        self._call = call
+        self._request = request
         self._relay = relay
-        self._on_first = on_first
+        self._on_first_output = on_first_output
         self._on_head = on_head
-        self._head: messages.AnswerHead | None = None
+        self._head: messages.ResponseHead | None = None
         self._body: list[bytes] = []
         self._size = 0
-        self.done: asyncio.Future[Ended] = loop.create_future()
+        self.done: asyncio.Future[AttemptResult] = loop.create_future()
         self.phase = Phase.WAITING
-        self.heard_at = loop.time()
+        self.last_data_at = loop.time()
 
-    def take_head(self, status: int, headers: list[messages.Header]) -> bool:
-        """Takes the head; one that answers another request is left out."""
-        head = self._codec.read_answer(status, headers)
-        if head.attempt and head.attempt != self._call.attempt:
+    def on_head(self, status: int, headers: list[messages.Header]) -> bool:
+        """Handles the head; returns False if it answers another request."""
+        head = self._codec.decode_response(status, headers)
+        if head.attempt and head.attempt != self._request.attempt:
             return False
         self._head = head
         self.phase = Phase.HEAD
-        self.heard_at = self._loop.time()
+        self.last_data_at = self._loop.time()
         if self._on_head is not None:
             self._on_head(head)
         return True
 
-    def take_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+    def on_body(self, data: bytes) -> None:
+        """Buffers or forwards a piece of the body."""
         if self.done.done():
             return
-        if not self._flows:
+        if not self._is_streamed:
             self._size += len(data)
-            if self._size > _LARGEST_ANSWER:
-                self._break(connection.Breach.GARBAGE)
+            if self._size > _MAX_ANSWER_BYTES:
+                self._fail(connection.ResponseFailure.INVALID)
             else:
                 self._body.append(data)
             return
         assert self._relay is not None
         try:
-            whole = self._relay.cutter.feed(data)
-        except events.Gap:
-            self._break(connection.Breach.GARBAGE)
+            complete = self._relay.splitter.feed(data)
+        except events.StreamError:
+            self._fail(connection.ResponseFailure.INVALID)
             return
-        if whole:
-            self._pass_on(whole)
+        if complete:
+            self._forward(complete)
 
-    def take_end(self) -> None:
-        """Judges a whole answer."""
+    def on_end(self) -> None:
+        """Determines the result of the attempt from a complete answer."""
         head = self._head
         assert head is not None
         self.phase = Phase.ENDED
         if head.displaced:
-            self._finish(Ended(End.DISPLACED, head))
+            self._finish(AttemptResult(End.DISPLACED, head))
         elif head.not_run:
-            self._finish(Ended(End.REFUSED, head))
+            self._finish(AttemptResult(End.REFUSED, head))
         elif not head.sealed or not head.attempt:
-            self._break(connection.Breach.GARBAGE)
-        elif not self._flows:
-            self._on_first()
-            self._finish(Ended(End.WHOLE, head, b"".join(self._body)))
+            self._fail(connection.ResponseFailure.INVALID)
+        elif not self._is_streamed:
+            self._on_first_output()
+            self._finish(AttemptResult(End.WHOLE, head, b"".join(self._body)))
         else:
             self._end_stream(head)
 
-    def take_breach(self, breach: connection.Breach) -> None:
-        """Notes that no more comes."""
-        self._break(breach)
+    def on_failure(self, failure: connection.ResponseFailure) -> None:
+        """Ends the attempt with an incomplete answer."""
+        self._fail(failure)
 
     @property
-    def _flows(self) -> bool:
-        """Whether events are passed on as they come."""
+    def _is_streamed(self) -> bool:
+        """Whether events are forwarded as they arrive."""
         head = self._head
         return (
             self._relay is not None
@@ -174,23 +181,23 @@
             and head.status == 200
         )
 
-    def _pass_on(self, whole: bytes) -> None:
+    def _forward(self, complete: bytes) -> None:
         assert self._relay is not None and self._head is not None
-        self.heard_at = self._loop.time()
-        if self.phase is not Phase.FLOWING:
-            self.phase = Phase.FLOWING
-            self._on_first()
+        self.last_data_at = self._loop.time()
+        if self.phase is not Phase.STREAMING:
+            self.phase = Phase.STREAMING
+            self._on_first_output()
         self._begin_relay()
-        self._relay.write(whole)
+        self._relay.write(complete)
 
-    def _end_stream(self, head: messages.AnswerHead) -> None:
+    def _end_stream(self, head: messages.ResponseHead) -> None:
         assert self._relay is not None
-        if self._relay.cutter.partial:
-            self._break(connection.Breach.CLOSED)
+        if self._relay.splitter.partial:
+            self._fail(connection.ResponseFailure.CLOSED)
             return
-        self._on_first()
+        self._on_first_output()
         self._begin_relay()
-        self._finish(Ended(End.WHOLE, head))
+        self._finish(AttemptResult(End.WHOLE, head))
 
     def _begin_relay(self) -> None:
         assert self._relay is not None and self._head is not None
@@ -198,10 +205,10 @@
             self._relay.begun = True
             self._relay.begin(self._head)
 
-    def _break(self, breach: connection.Breach) -> None:
+    def _fail(self, failure: connection.ResponseFailure) -> None:
         self.phase = Phase.ENDED
-        self._finish(Ended(End.BROKEN, self._head, breach=breach))
+        self._finish(AttemptResult(End.BROKEN, self._head, failure=failure))
 
-    def _finish(self, ended: Ended) -> None:
+    def _finish(self, ended: AttemptResult) -> None:
         if not self.done.done():
             self.done.set_result(ended)
--- a/pollenfork/gateway/client.py
+++ b/pollenfork/gateway/client.py
@@ -1,4 +1,4 @@
-"""Calls to one address over a kept connection, one at a time."""
+"""An HTTP client for one address, with one persistent connection."""
 
 import asyncio
 
@@ -6,17 +6,18 @@
 from pollenfork.gateway import messages
 from pollenfork.loads import messages as loads
 
-# A connection that will be established takes some milliseconds.
+# Connections that succeed are established within some milliseconds.
 _CONNECT_S = 0.5
 
 Answer = tuple[int, bytes]
 
 
-class Body:
-    """Takes a whole answer.
+class ResponseBuffer:
+    """Buffers a whole response.
 
     Attributes:
-        done: Resolves with status and body; None where the answer broke.
+        done: Resolves with status and body; with None if the response stayed
+            incomplete.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -24,28 +25,28 @@
         self._status = 0
         self._pieces: list[bytes] = []
 
-    def take_head(self, status: int, headers: list[messages.Header]) -> bool:
-        """Takes the status."""
+    def on_head(self, status: int, headers: list[messages.Header]) -> bool:
+        """Stores the status."""
         self._status = status
         return True
 
-    def take_body(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+    def on_body(self, data: bytes) -> None:
+        """Buffers a piece of the body."""
         self._pieces.append(data)
 
-    def take_end(self) -> None:
-        """Notes that the answer is whole."""
+    def on_end(self) -> None:
+        """Resolves `done` with the response."""
         if not self.done.done():
             self.done.set_result((self._status, b"".join(self._pieces)))
 
-    def take_breach(self, breach: connection.Breach) -> None:
-        """Notes that no more comes."""
+    def on_failure(self, failure: connection.ResponseFailure) -> None:
+        """Resolves `done` with None."""
         if not self.done.done():
             self.done.set_result(None)
 
 
 class Client:
-    """Calls one address."""
+    """Sends requests to one address, one at a time."""
 
     def __init__(self, address: loads.Address) -> None:
         self._loop = asyncio.get_running_loop()
@@ -56,35 +57,38 @@
     async def call(
         self, request: bytes, timeout_s: float, before: float | None = None
     ) -> Answer | None:
-        """Returns status and body; None where no whole answer came in time.
+        """Sends a request; returns status and body.
 
         Args:
-            request: The whole request.
-            timeout_s: Seconds until its answer is of no use.
+            request: The request as bytes.
+            timeout_s: Seconds within which the response must be complete.
             before: Monotonic seconds from which on it must not be sent.
+
+        Returns:
+            None if no complete response arrived in time.
         """
-        body = Body(self._loop)
+        body = ResponseBuffer(self._loop)
         answer = None
         try:
             async with asyncio.timeout(timeout_s) as self._limit:
                 opened = await self._connect()
-                # Looked at last: this process may have stood still.
+                # Checked last, since this process may have been suspended.
                 if before is None or self._loop.time() < before:
                     opened.send(request, body)
                     answer = await body.done
         except (OSError, TimeoutError):
-            pass  # The caller of this decides what no answer means.
+            pass  # The caller decides what a missing response means.
         finally:
             self._limit = None
         if answer is None:
             self.close()
         return answer
 
-    def break_off(self) -> None:
-        """Ends a call under way; it brings no answer.
+    def cancel(self) -> None:
+        """Cancels the call in progress, which then returns None.
 
-        Also one that still waits for its connection, which takes longest
-        where the address can't be reached.
+        This includes a call that is still connecting, which takes longest if
+        the address can't be reached.
         """
         if self._limit is not None and not self._limit.expired():
             self._limit.reschedule(self._loop.time())
@@ -96,9 +100,9 @@
             self._connection = None
 
     async def _connect(self) -> connection.Connection:
-        kept = self._connection
-        if kept is not None and kept.usable:
-            return kept
+        existing = self._connection
+        if existing is not None and existing.usable:
+            return existing
         self.close()
         connecting = self._loop.create_connection(
             lambda: connection.Connection(self._loop), *self.address
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -149,7 +149,7 @@
         if source.news and source.relay is not None and self._calling:
             # The relay already has what this call waits for, and the store may
             # not be answering this instance.
-            self._store.break_off()
+            self._store.cancel()
 
     def take_unresponsive(self) -> str | None:
         """Returns and clears the relay that last failed to answer, if any."""
@@ -212,7 +212,7 @@
         """Asks the store immediately, cancelling a call that is waiting."""
         if self._waiting:
             self._store_requested = True
-            self._store.break_off()
+            self._store.cancel()
         elif self._source.relay is not None:
             self._store_requested = True
             self._watch.skip_wait()
--- a/pollenfork/gateway/probing.py
+++ b/pollenfork/gateway/probing.py
@@ -14,7 +14,7 @@
 from pollenfork.fleet import model as fleet
 from pollenfork.fleet import registry
 from pollenfork.fleet import runner_state
-from pollenfork.gateway import endings
+from pollenfork.gateway import crash_probes
 from pollenfork.gateway import pool
 
 _LOG = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         if probed in self._tasks:
             return
         # Idle connections may be broken too, without having been noticed.
-        self._pool.forget(runner.id)
+        self._pool.close_idle(runner.id)
         task = asyncio.get_running_loop().create_task(
             self._probe(runner, state)
         )
@@ -84,9 +84,9 @@
             )
             if isinstance(opened, result.Err):
                 continue
-            await asyncio.sleep(endings.DROPPED_S)
+            await asyncio.sleep(crash_probes.DROP_WINDOW_S)
             if opened.ok_value.usable:
-                self._pool.give_back(runner, opened.ok_value)
+                self._pool.release(runner, opened.ok_value)
                 state.record_connected()
         _LOG.info(
             "event=runner_tried runner=%s reachable=%s tries=%d",
--- a/pollenfork/gateway/record.py
+++ b/pollenfork/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""The lines and counts that tell one request's course afterwards."""
+"""Log lines and counters of one request's progress."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,28 +10,29 @@
 from pollenfork.gateway import attempt
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
-from pollenfork.gateway import repetition
 from pollenfork.gateway import replies
+from pollenfork.gateway import retries
 
 _LOG = logging.getLogger(__name__)
 
 
-class Record:
-    """Tells what is decided for a request, with the inputs and their age."""
+class RequestLog:
+    """Logs the decisions on a request, with their inputs and age."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         counted: counters.Counters,
         read_loads_age: Callable[[], float | None],
-        admitted: context.Admitted,
+        admitted: context.AdmittedRequest,
     ) -> None:
-        """Takes what it needs.
+        """Creates the log of one request.
 
         Args:
-            loop: Its clock is used.
-            counted: Where requests are counted.
-            read_loads_age: Returns how old others' loads are, in seconds.
+            loop: The event loop, for its clock.
+            counted: The counters of requests.
+            read_loads_age: Returns the age of the other instances' loads in
+                seconds.
             admitted: The request.
         """
         self._loop = loop
@@ -45,12 +46,12 @@
         """Seconds since the request arrived."""
         return self._loop.time() - self._admitted.call.arrived
 
-    def note_choice(
-        self, grant: outcomes.Grant, course: repetition.Course
+    def log_choice(
+        self, grant: outcomes.Grant, history: retries.AttemptHistory
     ) -> None:
-        """Tells which runner was chosen and why."""
+        """Logs which runner was chosen and why."""
         admitted = self._admitted
-        if not course.searched:
+        if not history.runners_tried:
             self._counters.record_wait(admitted.route, self.took_s)
         loads_age_s = self._read_loads_age()
         _LOG.info(
@@ -78,18 +79,18 @@
             extra=logs.ORDINARY,
         )
 
-    def note_failure(
+    def log_failed_attempt(
         self,
         grant: outcomes.Grant,
-        ended: attempt.Ended,
-        sequel: repetition.Sequel,
-        course: repetition.Course,
+        ended: attempt.AttemptResult,
+        decision: retries.RetryDecision,
+        history: retries.AttemptHistory,
     ) -> None:
-        """Tells how an attempt failed and what follows."""
-        if sequel is repetition.Sequel.REPEATED:
+        """Logs how an attempt failed and what follows."""
+        if decision is retries.RetryDecision.RETRIED:
             self._counters.record_retry(ended.end)
         else:
-            self._counters.record_not_retried(sequel)
+            self._counters.record_not_retried(decision)
         _LOG.warning(
             "event=attempt_failed request=%s digest=%016x runner=%s end=%s "
             "breach=%s status=%s route=%s took_ms=%d left_ms=%d sent=%d "
@@ -98,24 +99,24 @@
             self._admitted.digest,
             grant.runner.id,
             ended.end.value,
-            ended.breach.value if ended.breach else "-",
+            ended.failure.value if ended.failure else "-",
             ended.head.status if ended.head else "-",
             self._admitted.route.name,
             self.took_s * 1000,
             self._left_s * 1000,
-            course.sent,
-            sequel.value,
+            history.sent,
+            decision.value,
         )
 
-    def note_standing(
-        self, grant: outcomes.Grant, ended: attempt.Ended, failures: int
+    def log_standing_change(
+        self, grant: outcomes.Grant, ended: attempt.AttemptResult, failures: int
     ) -> None:
-        """Tells what is believed of a runner, if that changed.
+        """Logs a change in the number of a runner's consecutive failures.
 
         Args:
-            grant: The runner, with its standing now.
-            ended: How an attempt at it ended.
-            failures: Its failures in a row before.
+            grant: The runner, with its current standing.
+            ended: The result of the last attempt.
+            failures: Its consecutive failures before that attempt.
         """
         seen = grant.state
         if seen.failures > failures:
@@ -136,14 +137,14 @@
                 failures,
             )
 
-    def note_answer(
+    def log_answer(
         self,
         runner: ids.EndpointId | None,
         status: int,
         served: counters.AnswerLatency,
-        course: repetition.Course,
+        history: retries.AttemptHistory,
     ) -> None:
-        """Tells that a runner's answer was handed to the caller."""
+        """Logs that a runner's answer was delivered to the caller."""
         route = self._admitted.route
         self._counters.record_served(route, served)
         _LOG.info(
@@ -159,17 +160,17 @@
             route.target_s * 1000,
             served.gap_s * 1000,
             route.gap_s * 1000,
-            course.sent,
+            history.sent,
             extra=logs.ORDINARY if served.meets(route) else None,
         )
 
-    def note_giving_up(
+    def log_refusal(
         self,
         reason: replies.Reason,
         may_have_run: bool,
-        course: repetition.Course,
+        history: retries.AttemptHistory,
     ) -> None:
-        """Tells the gateway's own final answer."""
+        """Logs the gateway's own final response."""
         self._counters.record_refused(reason)
         _LOG.warning(
             "event=given_up request=%s digest=%016x route=%s reason=%s "
@@ -179,19 +180,19 @@
             self._admitted.route.name,
             reason.value,
             may_have_run,
-            course.sent,
+            history.sent,
             self._admitted.version,
             self.took_s * 1000,
             self._left_s * 1000,
         )
 
-    def note_gone(
+    def log_caller_gone(
         self,
         runner: ids.EndpointId | None,
         begun: bool,
-        course: repetition.Course,
+        history: retries.AttemptHistory,
     ) -> None:
-        """Tells that the caller left, which ended what ran for it."""
+        """Logs that the caller disconnected, which cancelled its request."""
         self._counters.record_disconnect()
         _LOG.info(
             "event=caller_gone request=%s route=%s runner=%s sent=%d begun=%s "
@@ -199,16 +200,16 @@
             self._request,
             self._admitted.route.name,
             runner or "-",
-            course.sent,
+            history.sent,
             begun,
             self.took_s * 1000,
             self._left_s * 1000,
         )
 
-    def note_fault(self) -> None:
-        """Tells of a fault of this program, with its trace."""
+    def log_internal_error(self) -> None:
+        """Logs an internal error with its traceback."""
         _LOG.exception("event=request_failed request=%s", self._request)
 
     @property
     def _left_s(self) -> float:
-        return self._admitted.until - self._loop.time()
+        return self._admitted.deadline - self._loop.time()
--- a/pollenfork/gateway/scrape.py
+++ b/pollenfork/gateway/scrape.py
@@ -14,7 +14,7 @@
 
 def show(
     output: "metrics.Metrics",
-    tools: context.Tools,
+    tools: context.Dependencies,
     known: cluster_state.ClusterState,
     caller_faults: Mapping[str, int],
 ) -> None:
@@ -34,7 +34,7 @@
 
 def _show_runners(
     output: "metrics.Metrics",
-    tools: context.Tools,
+    tools: context.Dependencies,
     known: cluster_state.ClusterState,
 ) -> None:
     for event, count in msgspec.structs.asdict(tools.pool.counters).items():
@@ -51,7 +51,7 @@
         output.set_count(
             "pollenfork_findings_taken_total", count, sign=sign.name.lower()
         )
-    counts = tools.suspected.tracker.counts
+    counts = tools.request_quarantine.tracker.counts
     output.set_count("pollenfork_runner_ends_total", counts["ends"])
     output.set_count("pollenfork_requests_kept_back_total", counts["kept_back"])
     output.set_count("pollenfork_runners_kept_total", known.runners.kept)
--- a/pollenfork/gateway/tables.py
+++ b/pollenfork/gateway/tables.py
@@ -34,7 +34,7 @@
     path: bytes
 
     def serve(
-        self, call: messages.Call, caller: callers.CallerConnection
+        self, call: messages.Request, caller: callers.CallerConnection
     ) -> None:
         """Answers a call."""
 
@@ -55,7 +55,7 @@
         self._shelves[table].apply(changes)
 
     async def serve(
-        self, call: messages.Call, caller: callers.CallerConnection
+        self, call: messages.Request, caller: callers.CallerConnection
     ) -> None:
         """Answers a request of another instance."""
         if self._page is not None and call.target.startswith(self._page.path):
--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -1,4 +1,4 @@
-"""A codec of the tests' own, a runner that follows a script, a gateway."""
+"""Test doubles: a codec, a scripted runner, and a gateway's data path."""
 
 import asyncio
 import contextlib
@@ -14,14 +14,14 @@
 from pollenfork.gateway import callers
 from pollenfork.gateway import context
 from pollenfork.gateway import counters
-from pollenfork.gateway import endings
+from pollenfork.gateway import crash_probes
 from pollenfork.gateway import exchange
 from pollenfork.gateway import limit_events
+from pollenfork.gateway import load_shedding
 from pollenfork.gateway import messages
 from pollenfork.gateway import permits
 from pollenfork.gateway import pool
 from pollenfork.gateway import probing
-from pollenfork.gateway import refusals
 from pollenfork.poison import digests
 from pollenfork.poison import quarantine
 from pollenfork.routes import model as routes
@@ -30,14 +30,14 @@
 
 
 class Codec:
-    """Speaks headers of its own: `x-id`, `x-seal`, `x-unrun` and others."""
+    """Uses test headers: `x-id`, `x-seal`, `x-unrun` and others."""
 
-    def find_repeated(self, headers):
+    def find_duplicate(self, headers):
         return None
 
-    def read_call(self, headers):
+    def decode_request(self, headers):
         found = dict(headers)
-        return messages.CallHead(
+        return messages.RequestHead(
             attempt=ids.AttemptId(found.get(b"x-id", b"").decode()),
             key=None,
             wait_s=None,
@@ -46,7 +46,7 @@
             last_event=None,
         )
 
-    def write_call(self, call, sending):
+    def encode_request(self, call, sending):
         last = b""
         if sending.last_event is not None:
             last = b"x-after: %d\r\n" % sending.last_event
@@ -60,9 +60,9 @@
         length = b"content-length: %d\r\n\r\n" % len(call.body)
         return head + length + call.body
 
-    def read_answer(self, status, headers):
+    def decode_response(self, status, headers):
         found = dict(headers)
-        return messages.AnswerHead(
+        return messages.ResponseHead(
             status=status,
             attempt=ids.AttemptId(found.get(b"x-id", b"").decode()),
             sealed=b"x-seal" in found,
@@ -75,7 +75,7 @@
             ),
         )
 
-    def write_answer(self, head, length, closing):
+    def encode_response(self, head, length, closing):
         size = b"transfer-encoding: chunked"
         if length is not None:
             size = b"content-length: %d" % length
@@ -121,10 +121,10 @@
 
 
 class Runner:
-    """Answers each request with the next bytes of its script, then closes.
+    """Answers each request with the next item of its script, then closes.
 
     Attributes:
-        got: The heads of the requests that came.
+        got: The heads of the received requests.
         keeps: Whether connections stay open after an answer.
     """
 
@@ -179,7 +179,7 @@
 
 
 class Gateway:
-    """The data path alone: a caller's listener and exchanges."""
+    """The data path of a gateway: a listener for callers, and exchanges."""
 
     def __init__(self, route: routes.Route) -> None:
         loop = asyncio.get_running_loop()
@@ -187,10 +187,10 @@
         self.route = route
         self.demand = candidates.RequestProfile(SERVICE)
         self.begun: list[ids.AccountId] = []
-        self.longest_s: float | None = None
+        self.prefill_limit_s: float | None = None
         self.runners = registry.Registry()
         connections = pool.Pool(loop)
-        connections.follow(self.runners)
+        connections.watch_registry(self.runners)
         granted = permits.Permits(loop, "127.0.0.1", "a")
         chooser = choice.Chooser(self.runners, rng, limits=granted)
         found = evidence.Evidence(
@@ -203,24 +203,24 @@
             loop.time,
         )
         found.when_ended(suspected.record_absence)
-        self.tools = context.Tools(
+        self.deps = context.Dependencies(
             loop=loop,
             rng=rng,
             codec=Codec(),
             chooser=chooser,
             evidence=found,
-            endings=endings.Endings(
+            crash_probes=crash_probes.CrashProbes(
                 connections, found, suspected, chooser.get_state
             ),
-            suspected=suspected,
+            request_quarantine=suspected,
             limit_events=limit_events.LimitEvents(),
             permits=granted,
-            note_begun=self.begun.append,
+            record_started=self.begun.append,
             claim_trial=self._claim_trial,
             pool=connections,
             prober=probing.Prober(connections, self.runners, rng),
-            repeats=retry_budget.RetryBudget(0.2, 10.0),
-            turns=refusals.Turns(),
+            retry_budget=retry_budget.RetryBudget(0.2, 10.0),
+            shed_streaks=load_shedding.ShedStreaks(),
             counters=counters.Counters(),
             read_loads_age=lambda: None,
         )
@@ -229,7 +229,7 @@
         self._server: asyncio.Server | None = None
 
     async def _claim_trial(self, digest: ids.RequestDigest) -> bool:
-        """Returns whether a claim of a trial is left."""
+        """Returns whether the test allows another trial."""
         self.claims -= 1
         return self.claims >= 0
 
@@ -245,26 +245,26 @@
 
     def stop(self) -> None:
         self._server.close()
-        self.tools.prober.close()
-        self.tools.endings.close()
-        self.tools.pool.close()
+        self.deps.prober.close()
+        self.deps.crash_probes.close()
+        self.deps.pool.close()
 
     async def _serve(self, call, caller) -> None:
-        head = self.tools.codec.read_call(call.headers)
-        admitted = context.Admitted(
+        head = self.deps.codec.decode_request(call.headers)
+        admitted = context.AdmittedRequest(
             call=call,
             head=head,
             route=self.route,
             demand=self.demand,
-            longest_s=self.longest_s,
+            prefill_limit_s=self.prefill_limit_s,
             account=None,
             tier=self.route.tier,
             version=1,
             age_s=0.0,
-            until=call.arrived + self.route.time_limit_s,
+            deadline=call.arrived + self.route.time_limit_s,
             digest=digests.compute(None, call.method, call.target, call.body),
         )
-        await exchange.Exchange(self.tools, admitted, caller).run()
+        await exchange.Exchange(self.deps, admitted, caller).run()
 
 
 def make_route(kind: routes.Kind, **given) -> routes.Route:
@@ -290,13 +290,13 @@
 
 @contextlib.asynccontextmanager
 async def run_gateway(route: routes.Route, *runners: Runner):
-    """A gateway before runners; they are tried in order of their names."""
+    """Runs a gateway with runners, which it tries in the given order."""
     gateway = Gateway(route)
     await gateway.start()
     for number, runner in enumerate(runners):
         entry = await runner.start()
         gateway.runners.put(entry)
-        seen = gateway.tools.chooser.get_state(entry.id)
+        seen = gateway.deps.chooser.get_state(entry.id)
         seen.failure_rate = number * 0.2
     try:
         yield gateway
@@ -309,7 +309,7 @@
 async def ask(
     gateway: Gateway, data: bytes = b"GET /p HTTP/1.1\r\nx-id: q\r\n\r\n"
 ) -> bytes:
-    """Returns all that comes back until the connection is closed."""
+    """Sends a request; returns all bytes until the connection is closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
     closing = data.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n", 1)
     writer.write(closing)
--- a/pollenfork/gateway/tests/test_counters.py
+++ b/pollenfork/gateway/tests/test_counters.py
@@ -2,8 +2,8 @@
 
 from pollenfork.fleet import messages
 from pollenfork.gateway import counters
-from pollenfork.gateway import repetition
 from pollenfork.gateway import replies
+from pollenfork.gateway import retries
 from pollenfork.gateway.tests import support
 from pollenfork.routes import model
 
@@ -23,7 +23,7 @@
     counted.record_disconnect()
     counted.record_refused(replies.Reason.NO_RUNNER)
     counted.record_retry(messages.End.BROKEN)
-    counted.record_not_retried(repetition.Sequel.BUDGET_SPENT)
+    counted.record_not_retried(retries.RetryDecision.BUDGET_SPENT)
     labels = 'kind="stream",tier="0"'
     for _ in range(2):  # A second scrape shows the same.
         text = counted.write().decode()
--- /dev/null
+++ b/pollenfork/gateway/tests/test_load_shedding.py
@@ -0,0 +1,67 @@
+import msgspec
+import pytest
+
+from pollenfork import ids
+from pollenfork.fleet import candidates
+from pollenfork.fleet import model as fleet
+from pollenfork.gateway import load_shedding
+from pollenfork.gateway.tests import support
+from pollenfork.routes import model as routes
+
+TIERS = (ids.Tier(0), ids.Tier(1), ids.Tier(2))
+LONG = candidates.RequestProfile(
+    support.SERVICE, (fleet.Part(b"a", 100), fleet.Part(b"b", 5660))
+)
+
+
+def find_prefill_limit(
+    tier: int, demand=LONG, tiers=TIERS, favoured=False, target_s=1.0
+) -> float | None:
+    route = support.make_route(routes.Kind.STREAM, target_s=target_s)
+    route = msgspec.structs.replace(route, tier=ids.Tier(tier))
+    return load_shedding.find_prefill_limit(route, tiers, demand, favoured)
+
+
+def test_the_most_urgent_tier_is_never_shed() -> None:
+    assert find_prefill_limit(0) is None
+
+
+@pytest.mark.parametrize(
+    ("demand", "tiers"),
+    [(LONG, TIERS[2:]), (candidates.RequestProfile(support.SERVICE), TIERS)],
+)
+def test_nothing_is_shed_without_other_tiers_or_a_prompt(demand, tiers) -> None:
+    assert find_prefill_limit(2, demand, tiers) is None
+
+
+def test_nothing_is_shed_without_a_target() -> None:
+    assert find_prefill_limit(2, target_s=0.0) is None
+
+
+def test_less_urgent_tiers_have_a_prefill_limit() -> None:
+    assert find_prefill_limit(1) == pytest.approx(2.0)
+    assert find_prefill_limit(2) == pytest.approx(0.7)
+
+
+def test_a_favoured_account_has_a_higher_limit() -> None:
+    assert find_prefill_limit(2, favoured=True) == pytest.approx(2.0)
+
+
+def test_a_tier_is_not_starved() -> None:
+    streaks = load_shedding.ShedStreaks()
+    taken = [
+        streaks.admit_after_refusals(support.SERVICE, ids.Tier(2))
+        for _ in range(18)
+    ]
+    assert taken == ([False] * 5 + [True]) * 3
+
+
+def test_an_admission_resets_the_count_of_refusals() -> None:
+    streaks = load_shedding.ShedStreaks()
+    for _ in range(4):
+        for _ in range(5):
+            assert not streaks.admit_after_refusals(
+                support.SERVICE, ids.Tier(2)
+            )
+        streaks.reset(support.SERVICE, ids.Tier(1))
+        streaks.reset(support.SERVICE, ids.Tier(2))
--- a/pollenfork/gateway/tests/test_permits.py
+++ b/pollenfork/gateway/tests/test_permits.py
@@ -22,8 +22,8 @@
 
 
 def find_rate(gateway, name: str) -> float | None:
-    seen = gateway.tools.chooser.get_state(name)
-    return gateway.tools.permits.find_rate(seen.incarnation_hash)
+    seen = gateway.deps.chooser.get_state(name)
+    return gateway.deps.permits.find_rate(seen.incarnation_hash)
 
 
 @run
@@ -82,7 +82,7 @@
     second = support.Runner("b", LIMITED, UNLIMITED)
     route = support.make_route(routes.Kind.REPEATABLE)
     async with support.run_gateway(route, first, second) as gateway:
-        gateway.tools.chooser.get_state("a").failure_rate = 0.0
+        gateway.deps.chooser.get_state("a").failure_rate = 0.0
         await support.ask(gateway)
         assert find_rate(gateway, "b") == 0.5
         first.script.insert(0, support.REFUSED)
@@ -114,10 +114,10 @@
     async with support.run_gateway(route, only) as gateway:
         await support.ask(gateway)
         assert find_rate(gateway, "a") == 0.5
-        grant = gateway.tools.chooser.choose(gateway.demand, set(), 0.0)
-        gateway.tools.chooser.settle(grant)
+        grant = gateway.deps.chooser.choose(gateway.demand, set(), 0.0)
+        gateway.deps.chooser.settle(grant)
         seen = grant.state
-        gateway.tools.permits._limiter._blocks.forget(seen.incarnation_hash)
+        gateway.deps.permits._limiter._blocks.forget(seen.incarnation_hash)
         await support.ask(gateway)
         assert find_rate(gateway, "a") == 0.5
 
@@ -141,7 +141,7 @@
     async with support.run_gateway(route, only) as gateway:
         for _ in range(4):
             await support.ask(gateway)
-        seen = gateway.tools.chooser.get_state("a")
+        seen = gateway.deps.chooser.get_state("a")
     assert seen.failures == 0
     assert seen.failure_rate == pytest.approx(0.0)
     assert seen.active == 0
--- a/pollenfork/gateway/tests/test_quarantine_page.py
+++ b/pollenfork/gateway/tests/test_quarantine_page.py
@@ -29,7 +29,7 @@
 def ask(page: quarantine_page.QuarantinePage, method: bytes, target: bytes):
     caller = Caller()
     page.serve(
-        messages.Call(
+        messages.Request(
             method=method, target=target, headers=[], body=b"", arrived=0.0
         ),
         caller,
