--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -186,11 +186,11 @@
         self.counters.when_scraped(self._show_state)
         if self._duty_agent is not None:
             self.counters.when_scraped(self._duty_agent.show)
-        request_handler = request_handler.RequestHandler(
+        handler = request_handler.RequestHandler(
             self._tools, self.known, self._readiness
         )
-        self._front = callers.Server(self._loop, request_handler.serve)
-        self._probes = callers.Server(self._loop, request_handler.serve_probe)
+        self._front = callers.Server(self._loop, handler.serve)
+        self._probes = callers.Server(self._loop, handler.serve_probe)
 
     async def run(self) -> None:
         """Serves until `stop` is called, then drains and closes."""
