--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -145,7 +145,7 @@
 
 
 def test_a_runner_kept_for_one_instances_failures_is_seen(monkeypatch) -> None:
-    monkeypatch.setattr(outages, "_LEAST_HEARTBEATS", 0.0)
+    monkeypatch.setattr(outages, "_MIN_HEARTBEATS", 0.0)
     assert "kept" in list_rules([3, 8, 26, 45])
 
 
