--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -224,7 +224,7 @@
 
     def _read_pressure(self) -> dispatch_messages.Pressure:
         pressure = self._scheduler.read_pressure()
-        return peers.add_leaving(pressure, self.endpoints.read_leaving())
+        return peers.add_leaving(pressure, self.endpoints.list_leaving())
 
     # How the parts are made.
 
--- a/pollenfork/endpoints/actor.py
+++ b/pollenfork/endpoints/actor.py
@@ -88,7 +88,7 @@
         now = self._clock.monotonic()
         for news in self._core.take_news(now):
             self._publish(news)
-        self._keep_leaving(self._core.read_leaving(now))
+        self._keep_leaving(self._core.list_leaving(now))
         return answer
 
     def _handle(self, message: Any) -> Any:
@@ -106,7 +106,7 @@
             case messages.PeerLeaving(endpoints, peer):
                 # One that is gone takes nothing back by its silence.
                 known = peer if peer in self._live_peers() else None
-                self._core.hear_peer_leaving(endpoints, known, now)
+                self._core.receive_peer_leaving(endpoints, known, now)
             case messages.MakeDrain(endpoint, wished):
                 return self._make_drain(endpoint, wished)
             case messages.ListEndpoints():
@@ -228,7 +228,7 @@
         """Takes a tree that has come into force."""
         self._tell(tree)
 
-    def hear_peer_leaving(
+    def receive_peer_leaving(
         self,
         endpoints: tuple[ids.EndpointId, ...],
         peer: ids.InstanceId | None = None,
@@ -256,7 +256,7 @@
         """Withdraws the wish; an endpoint that obeyed has to start anew."""
         return self._store_drain(endpoint, wished=False)
 
-    def read_leaving(self) -> tuple[ids.EndpointId, ...]:
+    def list_leaving(self) -> tuple[ids.EndpointId, ...]:
         """Returns what this instance itself knows to be leaving.
 
         For `Pressure.leaving`; what only peers said is left out.
--- a/pollenfork/endpoints/core.py
+++ b/pollenfork/endpoints/core.py
@@ -88,7 +88,7 @@
         self._schedule.hear_live(instances)
         self._health.forget_peers(instances)
 
-    def hear_peer_leaving(
+    def receive_peer_leaving(
         self,
         leaving: Collection[ids.EndpointId],
         peer: ids.InstanceId | None,
@@ -157,9 +157,9 @@
         """Returns whether the settings name the endpoint here."""
         return endpoint in self._known
 
-    def read_leaving(self, now: float) -> tuple[ids.EndpointId, ...]:
+    def list_leaving(self, now: float) -> tuple[ids.EndpointId, ...]:
         """Returns what this instance itself knows to be leaving."""
-        return self._health.read_leaving(now)
+        return self._health.list_leaving(now)
 
     def list_endpoints(self, now: float) -> tuple[messages.EndpointView, ...]:
         """Returns every endpoint for the operators' page."""
--- a/pollenfork/endpoints/health.py
+++ b/pollenfork/endpoints/health.py
@@ -240,7 +240,7 @@
         """Drops lists of peers that are gone; their claims run out."""
         self._said = {p: s for p, s in self._said.items() if p in live}
 
-    def read_leaving(self, now: float) -> tuple[ids.EndpointId, ...]:
+    def list_leaving(self, now: float) -> tuple[ids.EndpointId, ...]:
         """Returns the endpoints that peers should hear are leaving."""
         return tuple(
             name
--- a/pollenfork/endpoints/tests/fleet.py
+++ b/pollenfork/endpoints/tests/fleet.py
@@ -183,7 +183,7 @@
 
     def _exchange(self, now):
         for sender in self.members:
-            leaving = sender.core.read_leaving(now)
+            leaving = sender.core.list_leaving(now)
             for hearer in self.members:
                 if hearer is not sender and not hearer.deaf:
-                    hearer.core.hear_peer_leaving(leaving, sender.name, now)
+                    hearer.core.receive_peer_leaving(leaving, sender.name, now)
--- a/pollenfork/endpoints/tests/test_actor.py
+++ b/pollenfork/endpoints/tests/test_actor.py
@@ -125,7 +125,7 @@
     assert (order.argument, order.fencing) == ("m@2", 1)
 
     assert site.endpoints.drain(E1) == result.Ok(None)
-    assert site.endpoints.read_leaving() == (E1,)
+    assert site.endpoints.list_leaving() == (E1,)
     assert site.endpoints.drain(E1) == result.Ok(None)  # Stands already.
     site.run(8.0)
     assert site.engine.core.orders.draining
@@ -147,7 +147,7 @@
     site.platform.set_faults(platform_configs.Faults(down=True))
     refused = site.endpoints.drain(E1)
     assert isinstance(refused.err_value, errors.DrainNotStored)
-    assert site.endpoints.read_leaving() == ()
+    assert site.endpoints.list_leaving() == ()
 
 
 def test_drain_stored_by_another_instance_first_counts_as_stored(site):
@@ -157,7 +157,7 @@
     site.platform.table.commit(other.transaction)
     assert site.endpoints.drain(E1) == result.Ok(None)
     site.run(0.5)
-    assert site.endpoints.read_leaving() == (E1,)
+    assert site.endpoints.list_leaving() == (E1,)
 
 
 def test_drain_whose_answer_was_lost_is_read_back(site):
@@ -173,18 +173,18 @@
     lost = site.endpoints.drain(E1)
     assert isinstance(lost.err_value, errors.DrainNotStored)
     site.run(9.0)
-    assert site.endpoints.read_leaving() == (E1,)
+    assert site.endpoints.list_leaving() == (E1,)
 
 
 def test_peer_word_stops_new_work_and_is_not_passed_on(site):
     site.apply("model")
     site.live = (ids.InstanceId("i1"), ids.InstanceId("i2"))
     site.run(2.0)
-    site.endpoints.hear_peer_leaving((E1,), ids.InstanceId("i2"))
+    site.endpoints.receive_peer_leaving((E1,), ids.InstanceId("i2"))
     site.run(0.25)
     assert site.read_states()[-1] is dispatch_messages.EndpointState.LEAVING
-    assert site.endpoints.read_leaving() == ()
-    site.endpoints.hear_peer_leaving((), ids.InstanceId("i2"))
+    assert site.endpoints.list_leaving() == ()
+    site.endpoints.receive_peer_leaving((), ids.InstanceId("i2"))
     site.run(0.25)
     assert site.read_states()[-1] is dispatch_messages.EndpointState.LIVE
 
@@ -193,10 +193,10 @@
     site.apply("model")
     site.live = (ids.InstanceId("i1"), ids.InstanceId("i2"))
     site.run(2.0)
-    site.endpoints.hear_peer_leaving((E1,), ids.InstanceId("i2"))
+    site.endpoints.receive_peer_leaving((E1,), ids.InstanceId("i2"))
     site.run(0.25)
     site.live = (ids.InstanceId("i1"),)
-    site.endpoints.hear_peer_leaving((), ids.InstanceId("i2"))
+    site.endpoints.receive_peer_leaving((), ids.InstanceId("i2"))
     site.run(5.0)
     assert site.read_states()[-1] is dispatch_messages.EndpointState.LEAVING
     site.run(120.0)
--- a/pollenfork/peers.py
+++ b/pollenfork/peers.py
@@ -109,7 +109,7 @@
                 self._note_end(event)
             case messages.PressureHeard(pressure=pressure):
                 self._slots.report(pressure)
-                self._endpoints.hear_peer_leaving(
+                self._endpoints.receive_peer_leaving(
                     pressure.leaving, pressure.instance
                 )
             case messages.PeerRevision():
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -50,7 +50,7 @@
             types.SimpleNamespace(report=self.slots.append),
             types.SimpleNamespace(report=self.settings.append),
             types.SimpleNamespace(
-                hear_peer_leaving=lambda *said: self.endpoints.append(said)
+                receive_peer_leaving=lambda *said: self.endpoints.append(said)
             ),
         )
 
