--- a/benchmarks/endpoint_probes.py
+++ b/benchmarks/endpoint_probes.py
@@ -21,7 +21,7 @@
 from pollenfork.endpoints import actor
 from pollenfork.endpoints import client
 from pollenfork.endpoints import edges
-from pollenfork.endpoints import shares
+from pollenfork.endpoints import probe_assignment
 from pollenfork.settings import messages as settings_messages
 from pollenfork.settings import model
 from pollenfork.settings import snapshot
@@ -131,7 +131,7 @@
         load_s: CPU seconds of one load report.
     """
     measured = measure_slice(instances, endpoints)
-    probers = shares.count_probers(instances, endpoints, 1.0)
+    probers = probe_assignment.count_probers(instances, endpoints, 1.0)
     loads = measured["loads_per_s"]
     mean_probes = probers * endpoints / instances
     calls_cpu = mean_probes * probe_s + loads * load_s
--- a/pollenfork/endpoints/schedule.py
+++ b/pollenfork/endpoints/schedule.py
@@ -6,7 +6,7 @@
 
 from pollenfork import ids
 from pollenfork.endpoints import calls
-from pollenfork.endpoints import shares
+from pollenfork.endpoints import probe_assignment
 
 
 class Rates(msgspec.Struct, frozen=True, kw_only=True):
@@ -134,7 +134,7 @@
         due = self._due.get(call)
         if due is None:
             # Each starts at its own moment of the first period.
-            part = shares.find_phase(f"{self._instance} {call}")
+            part = probe_assignment.get_phase(f"{self._instance} {call}")
             due = self._due[call] = now + part * period
         if now < due or call in self._under_way:
             return
@@ -143,14 +143,18 @@
         self._due[call] = max(due + period, now + period / 2)
 
     def _divide(self) -> None:
-        probers = shares.count_probers(
+        probers = probe_assignment.count_probers(
             len(self._live), len(self._endpoints), self._rates.probe_s
         )
         share = set()
         self._ranks = {}
         for name in self._endpoints:
-            rank = shares.rank_instances(name, self._live).index(self._instance)
-            self._ranks[name] = rank if rank < shares.CANDIDATES else None
+            rank = probe_assignment.rank_instances(name, self._live).index(
+                self._instance
+            )
+            self._ranks[name] = (
+                rank if rank < probe_assignment.MAX_CANDIDATES else None
+            )
             if rank < probers:
                 share.add(name)
         self._share = frozenset(share)
--- a/pollenfork/endpoints/tests/test_leaving.py
+++ b/pollenfork/endpoints/tests/test_leaving.py
@@ -7,7 +7,7 @@
 
 from pollenfork import ids
 from pollenfork.endpoints import health
-from pollenfork.endpoints import shares
+from pollenfork.endpoints import probe_assignment
 from pollenfork.endpoints.tests import fleet
 from pollenfork.standin.platform import config as faults
 from pollenfork.store import edges as platform_edges
@@ -255,7 +255,7 @@
     [(1, 12, 1), (6, 12, 6), (8, 12, 8), (60, 100, 7), (60, 1000, 2)],
 )
 def test_probers_for_each_size(instances, endpoints, probers):
-    assert shares.count_probers(instances, endpoints, 1.0) == probers
+    assert probe_assignment.count_probers(instances, endpoints, 1.0) == probers
 
 
 class LeavingMachine(stateful.RuleBasedStateMachine):
