--- a/pollenfork/endpoints/__init__.py
+++ b/pollenfork/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""State of the endpoints: health, load, leaving, leases and orders."""
+"""Endpoint management: health, load, draining, leases and orders."""
--- a/pollenfork/endpoints/actor.py
+++ b/pollenfork/endpoints/actor.py
@@ -1,4 +1,4 @@
-"""The actor that owns the core, and the threads that make its calls."""
+"""The actor that owns the core, and the thread pools that make its calls."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -14,7 +14,7 @@
 from pollenfork import ids
 from pollenfork import timers as timing
 from pollenfork.dispatch import messages as dispatch_messages
-from pollenfork.endpoints import caller
+from pollenfork.endpoints import call_executor
 from pollenfork.endpoints import calls
 from pollenfork.endpoints import core
 from pollenfork.endpoints import edges
@@ -41,132 +41,133 @@
 
 
 class EndpointsActor(pykka.ThreadingActor):
-    """Owns the core; never waits for a call."""
+    """Owns the core; its calls run in other threads."""
 
     use_daemon_thread = True
 
     def __init__(
         self,
-        owned: core.Core,
+        endpoints_core: core.Core,
         clock: clocks.Clock,
-        made_by: caller.Caller,
+        executor: call_executor.CallExecutor,
         connect: Connect,
-        publish: Callable[[core.News], None],
+        publish: Callable[[core.Update], None],
         live_peers: Callable[[], tuple[ids.InstanceId, ...]],
-        keep_leaving: Callable[[tuple[ids.EndpointId, ...]], None],
+        set_leaving: Callable[[tuple[ids.EndpointId, ...]], None],
         submit: Callable[[calls.Call, Callable[[], None]], None],
     ) -> None:
         super().__init__()
-        self._core = owned
+        self._core = endpoints_core
         self._clock = clock
-        self._caller = made_by
+        self._executor = executor
         self._connect = connect
         self._publish = publish
         self._live_peers = live_peers
-        self._keep_leaving = keep_leaving
+        self._set_leaving = set_leaving
         self._submit = submit
         self._clients: dict[
             ids.EndpointId, tuple[model.EndpointSettings, edges.Endpoint]
         ] = {}
 
     def on_receive(self, message: Any) -> Any:
-        """Takes one message; asks are answered by what they return.
+        """Handles one message, and returns the answer to a request.
 
-        An actor ends with its first exception; this one must not, or nobody
-        would see the endpoints any more.
+        An exception would stop the actor, and with it all tracking of the
+        endpoints, so exceptions are logged.
         """
         try:
             return self._receive(message)
         except Exception:
             if isinstance(message, messages.MakeDrain | messages.ListEndpoints):
-                raise  # The asker gets it, and the actor goes on.
+                raise  # The exception is passed to the sender of the request.
             _LOG.exception("event=message_failed slice=endpoints")
             return None
 
     def _receive(self, message: Any) -> Any:
         answer = self._handle(message)
         now = self._clock.monotonic()
-        for news in self._core.take_news(now):
-            self._publish(news)
-        self._keep_leaving(self._core.list_leaving(now))
+        for update in self._core.take_updates(now):
+            self._publish(update)
+        self._set_leaving(self._core.list_leaving(now))
         return answer
 
     def _handle(self, message: Any) -> Any:
         now = self._clock.monotonic()
         match message:
             case messages.Tick():
-                self._core.hear_live(self._live_peers())
-                self._start(self._core.tick(now))
+                self._core.set_live_instances(self._live_peers())
+                self._submit_calls(self._core.tick(now))
             case calls.Done():
-                self._core.take(message, now)
-                self._start(self._core.list_steps(now))
+                self._core.handle_done(message, now)
+                self._submit_calls(self._core.list_steps(now))
             case settings_messages.TreeInForce(tree):
                 self._core.apply_tree(tree)
-                self._connect_all(tree)
+                self._update_clients(tree)
             case messages.PeerLeaving(endpoints, peer):
-                # One that is gone takes nothing back by its silence.
-                known = peer if peer in self._live_peers() else None
-                self._core.receive_peer_leaving(endpoints, known, now)
-            case messages.MakeDrain(endpoint, wished):
-                return self._make_drain(endpoint, wished)
+                # A peer that is gone must not withdraw its earlier reports.
+                live_peer = peer if peer in self._live_peers() else None
+                self._core.receive_peer_leaving(endpoints, live_peer, now)
+            case messages.MakeDrain(endpoint, draining):
+                return self._make_drain(endpoint, draining)
             case messages.ListEndpoints():
                 return self._core.list_endpoints(now)
             case messages.Stop():
                 self._core.stop_orders()
-                self._start(self._core.list_steps(now))
+                self._submit_calls(self._core.list_steps(now))
         return None
 
-    def _start(self, due: list[calls.Call]) -> None:
+    def _submit_calls(self, due: list[calls.Call]) -> None:
         for call in due:
             endpoint = None
             if not isinstance(call, calls.ToPlatform):
                 endpoint = self._clients[call.endpoint][1]
-            self._submit(call, self._bind(call, endpoint))
+            self._submit(call, self._make_job(call, endpoint))
 
-    def _bind(
+    def _make_job(
         self, call: calls.Call, endpoint: edges.Endpoint | None
     ) -> Callable[[], None]:
         def run() -> None:
             sent_at = self._clock.monotonic()
-            answer = self._caller.make(call, endpoint)
+            answer = self._executor.execute(call, endpoint)
             self.actor_ref.tell(calls.Done(call, sent_at, answer))
 
         return run
 
-    def _connect_all(self, tree: model.Tree) -> None:
+    def _update_clients(self, tree: model.Tree) -> None:
         clients = {}
         for name, settings in tree.root.endpoints.items():
             if not self._core.has(name):
                 continue
-            kept = self._clients.get(name)
-            if kept is None or kept[0] != settings:
-                kept = (settings, self._connect(settings))
-            clients[name] = kept
+            client = self._clients.get(name)
+            if client is None or client[0] != settings:
+                client = (settings, self._connect(settings))
+            clients[name] = client
         self._clients = clients
 
     def _make_drain(
-        self, endpoint: ids.EndpointId, wished: bool
+        self, endpoint: ids.EndpointId, draining: bool
     ) -> result.Result[calls.StoreDrain | None, errors.UnknownEndpoint]:
         if not self._core.has(endpoint):
             detail = f"no endpoint {endpoint} in this data centre"
             return result.Err(errors.UnknownEndpoint(detail=detail))
-        return result.Ok(self._core.make_drain(endpoint, wished))
+        return result.Ok(self._core.make_drain(endpoint, draining))
 
 
 class Endpoints:
-    """The slice as the application wires it.
+    """The interface of this package for the application.
 
     Args:
-        config: Who this instance is.
-        clock: Also times the leases.
-        table: For leases, orders and wishes to drain.
-        instance_list: The platform's list.
-        weight_store: Permits for loads.
-        connect: Returns the client of one endpoint.
+        config: The configuration of this instance.
+        clock: The clock for schedules and leases.
+        table: Stores leases, orders and drain requests.
+        instance_list: The platform's list of instances.
+        weight_store: Issues permits to load models.
+        connect: Returns a client of one endpoint.
         publish: Called by the actor with each report and notice.
-        live_peers: The live entry instances of this data centre.
-        publish_hint: Called with cache hints; None fetches no cache events.
-        rates: How often to ask whom.
+        live_peers: Returns the live entry instances of this data centre.
+        publish_hint: Called with cache hints; if None, no cache events are
+            fetched.
+        rates: The rates and intervals of probes and reads.
     """
 
     def __init__(
@@ -180,11 +181,11 @@
         publish: Publish,
         live_peers: Callable[[], tuple[ids.InstanceId, ...]],
         publish_hint: Callable[[messages.CacheHint], None] | None = None,
-        rates: schedule.Rates | None = None,
+        rates: schedule.PollingRates | None = None,
     ) -> None:
         self._clock = clock
         self._table = table
-        self._publish_news = publish
+        self._publish_update = publish
         self._publish_hint = publish_hint
         self._leaving: tuple[ids.EndpointId, ...] = ()
         self._core = core.Core(
@@ -194,28 +195,30 @@
             rates,
             wants_hints=publish_hint is not None,
         )
-        self._caller = caller.Caller(clock, table, instance_list, weight_store)
+        self._executor = call_executor.CallExecutor(
+            clock, table, instance_list, weight_store
+        )
         self._connect = connect
         self._live_peers = live_peers
         self._pools = _make_pools()
         self._actor: pykka.ActorRef[EndpointsActor] | None = None
 
     def start(self, timers: timing.Timers) -> None:
-        """Starts the actor; `timers` drives it."""
+        """Starts the actor, which `timers` calls periodically."""
         self._actor = EndpointsActor.start(
             self._core,
             self._clock,
-            self._caller,
+            self._executor,
             self._connect,
             self._publish,
             self._live_peers,
-            self._keep_leaving,
+            self._set_leaving,
             self._submit,
         )
         timers.every(_TICK_S, lambda: self._tell(messages.Tick()))
 
     def stop(self) -> None:
-        """Gives idle leases back, then ends the threads."""
+        """Releases idle leases, then stops all threads."""
         if self._actor is None:
             return
         self._actor.ask(messages.Stop(), timeout=_ASK_TIMEOUT_S)
@@ -225,7 +228,7 @@
         self._actor = None
 
     def apply(self, tree: settings_messages.TreeInForce) -> None:
-        """Takes a tree that has come into force."""
+        """Applies a new version of the settings."""
         self._tell(tree)
 
     def receive_peer_leaving(
@@ -233,50 +236,50 @@
         endpoints: tuple[ids.EndpointId, ...],
         peer: ids.InstanceId | None = None,
     ) -> None:
-        """Takes endpoints that a peer says are leaving.
+        """Handles a peer's report of leaving endpoints.
 
-        With `peer`, they are all that it says now, and what it said earlier
-        is taken back; without, they are further news.
+        With `peer`, the list replaces the earlier one of that peer; without,
+        it is added to what was reported before.
         """
         self._tell(messages.PeerLeaving(endpoints, peer))
 
     def drain(
         self, endpoint: ids.EndpointId
     ) -> result.Result[None, errors.UnknownEndpoint | errors.DrainNotStored]:
-        """Stores the wish that the endpoint take no new work.
+        """Stores a request that the endpoint take no new work.
 
-        It is durable when this returns; every instance learns it within
-        seconds, and the lease's holder orders the endpoint to drain.
+        It is durable when this returns. Every instance reads it within seconds,
+        and the lease holder orders the endpoint to drain.
         """
-        return self._store_drain(endpoint, wished=True)
+        return self._store_drain(endpoint, draining=True)
 
     def withdraw_drain(
         self, endpoint: ids.EndpointId
     ) -> result.Result[None, errors.UnknownEndpoint | errors.DrainNotStored]:
-        """Withdraws the wish; an endpoint that obeyed has to start anew."""
-        return self._store_drain(endpoint, wished=False)
+        """Withdraws the request; a drained endpoint must be restarted."""
+        return self._store_drain(endpoint, draining=False)
 
     def list_leaving(self) -> tuple[ids.EndpointId, ...]:
-        """Returns what this instance itself knows to be leaving.
+        """Returns the leaving endpoints for `Pressure.leaving`.
 
-        For `Pressure.leaving`; what only peers said is left out.
+        Endpoints that only peers report as leaving are left out.
         """
         return self._leaving
 
     def list_endpoints(self) -> tuple[messages.EndpointView, ...]:
-        """Returns every endpoint of the data centre for operators."""
+        """Returns the status of all endpoints of the data centre."""
         if self._actor is None:
             return ()
-        found: Any = self._actor.ask(
+        views: Any = self._actor.ask(
             messages.ListEndpoints(), timeout=_ASK_TIMEOUT_S
         )
-        return found
+        return views
 
     def _store_drain(
-        self, endpoint: ids.EndpointId, wished: bool
+        self, endpoint: ids.EndpointId, draining: bool
     ) -> result.Result[None, errors.UnknownEndpoint | errors.DrainNotStored]:
         assert self._actor is not None
-        message = messages.MakeDrain(endpoint, wished)
+        message = messages.MakeDrain(endpoint, draining)
         made: Any = self._actor.ask(message, timeout=_ASK_TIMEOUT_S)
         if isinstance(made, result.Err):
             return made
@@ -285,7 +288,7 @@
             return result.Ok(None)
         sent_at = self._clock.monotonic()
         answer = self._table.commit(call.transaction)
-        # The wish is in force here when the operator is told so.
+        # This instance applies the request before the operator is answered.
         done = calls.Done(call, sent_at, answer)
         self._actor.ask(done, timeout=_ASK_TIMEOUT_S)
         if isinstance(answer, result.Ok):
@@ -295,18 +298,18 @@
             return result.Ok(None)  # Another instance stored it first.
         return result.Err(errors.DrainNotStored(detail=failure.detail))
 
-    def _publish(self, news: core.News) -> None:
-        if not isinstance(news, messages.CacheHint):
-            self._publish_news(news)
+    def _publish(self, update: core.Update) -> None:
+        if not isinstance(update, messages.CacheHint):
+            self._publish_update(update)
         elif self._publish_hint:
-            self._publish_hint(news)
+            self._publish_hint(update)
 
-    def _keep_leaving(self, leaving: tuple[ids.EndpointId, ...]) -> None:
+    def _set_leaving(self, leaving: tuple[ids.EndpointId, ...]) -> None:
         self._leaving = leaving
 
     def _submit(self, call: calls.Call, run: Callable[[], None]) -> None:
         try:
-            self._pools[_find_pool(call)].submit(run)
+            self._pools[_select_pool(call)].submit(run)
         except RuntimeError:
             _LOG.info("event=call_dropped reason=stopping")
 
@@ -327,9 +330,11 @@
     }
 
 
-def _find_pool(call: calls.Call) -> str:
-    """Returns whose threads make the call; a slow kind holds up no other."""
-    if isinstance(call, calls.TakeStep) and isinstance(call.step, steps.Send):
+def _select_pool(call: calls.Call) -> str:
+    """Returns the pool for a call, so that slow calls delay no other kind."""
+    if isinstance(call, calls.RunStep) and isinstance(
+        call.step, steps.SendOrder
+    ):
         return "orders"
     if isinstance(call, calls.ToEndpoint):
         return "endpoints"
--- a/pollenfork/endpoints/caller.py
+++ b/pollenfork/endpoints/call_executor.py
@@ -1,4 +1,4 @@
-"""Makes the calls that the core asks for; runs in the pools' threads."""
+"""Makes the calls that the core plans, in the threads of the pools."""
 
 import logging
 from typing import Any
@@ -17,8 +17,8 @@
 _LOG = logging.getLogger(__name__)
 
 
-class Caller:
-    """Makes the core's calls; each returns what its edge returned."""
+class CallExecutor:
+    """Makes calls to endpoints and the platform, and returns their results."""
 
     def __init__(
         self,
@@ -32,17 +32,17 @@
         self._instance_list = instance_list
         self._weight_store = weight_store
 
-    def make(
+    def execute(
         self, call: calls.Call, endpoint: edges.Endpoint | None
     ) -> result.Result[Any, Any]:
-        """Makes one call; `endpoint` is the one that it names, if any."""
+        """Makes one call; `endpoint` is its target, if it has one."""
         try:
-            return self._make(call, endpoint)
-        except Exception as error:  # Else the core would wait for ever.
+            return self._execute(call, endpoint)
+        except Exception as error:  # Otherwise the core would wait forever.
             _LOG.exception("event=call_failed call=%s", call)
             return result.Err(_make_failure(call, str(error)))
 
-    def _make(
+    def _execute(
         self, call: calls.Call, endpoint: edges.Endpoint | None
     ) -> result.Result[Any, Any]:
         match call:
@@ -52,8 +52,8 @@
                 return self._table.scan(prefix)
             case calls.StoreDrain():
                 return self._table.commit(call.transaction)
-            case calls.TakeStep(_, step):
-                return self._take_step(step, endpoint)
+            case calls.RunStep(_, step):
+                return self._run_step(step, endpoint)
         assert endpoint is not None
         match call:
             case calls.Probe():
@@ -63,7 +63,7 @@
             case calls.FetchEvents(_, after):
                 return endpoint.fetch_cache_events(after)
 
-    def _take_step(
+    def _run_step(
         self, step: steps.Step, endpoint: edges.Endpoint | None
     ) -> result.Result[Any, Any]:
         match step:
@@ -71,25 +71,27 @@
                 return self._table.read(key)
             case steps.Write(transaction):
                 return self._table.commit(transaction)
-            case steps.AskPermit(name, version):
+            case steps.RequestPermit(name, version):
                 return self._weight_store.request_read(name, version)
-            case steps.Send(order, send_before):
+            case steps.SendOrder(order, send_before):
                 assert endpoint is not None
-                # This thread may have waited, or been paused, since the
-                # core decided.
+                # The call may have been queued, or this thread paused, since
+                # the core chose the step.
                 if self._clock.monotonic() >= send_before:
-                    return result.Err(errors.TooLate(detail="lease over"))
+                    return result.Err(
+                        errors.TooLate(detail="the lease ended before sending")
+                    )
                 return endpoint.give_order(order)
 
 
-def is_to_endpoint(call: calls.Call) -> bool:
-    """Returns whether an endpoint answers the call, not the platform."""
-    if isinstance(call, calls.TakeStep):
-        return isinstance(call.step, steps.Send)
+def targets_endpoint(call: calls.Call) -> bool:
+    """Returns whether the call goes to an endpoint, not to the platform."""
+    if isinstance(call, calls.RunStep):
+        return isinstance(call.step, steps.SendOrder)
     return isinstance(call, calls.ToEndpoint)
 
 
 def _make_failure(call: calls.Call, detail: str) -> failures.Failure:
-    if is_to_endpoint(call):
+    if targets_endpoint(call):
         return edges.Unanswered(detail=detail)
     return platform_errors.Unanswered(detail=detail)
--- a/pollenfork/endpoints/calls.py
+++ b/pollenfork/endpoints/calls.py
@@ -1,4 +1,4 @@
-"""Calls that the core asks its actor to make, and what they bring."""
+"""Calls that the core plans and the actor makes, and their results."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """Ask an endpoint whether it is ready."""
+    """Probe an endpoint's readiness."""
 
     endpoint: ids.EndpointId
 
@@ -24,7 +24,7 @@
 
 
 class FetchEvents(msgspec.Struct, frozen=True):
-    """Fetch an engine's cache events past sequence `after`."""
+    """Fetch an engine's cache events after sequence `after`."""
 
     endpoint: ids.EndpointId
     after: int
@@ -35,21 +35,21 @@
 
 
 class ScanDrains(msgspec.Struct, frozen=True):
-    """Read the operators' wishes to drain from the table."""
+    """Read all drain requests from the store."""
 
     prefix: str
 
 
 class StoreDrain(msgspec.Struct, frozen=True):
-    """Write a wish to drain, or withdraw it where `row` is None."""
+    """Store a drain request, or withdraw it if `row` is None."""
 
     endpoint: ids.EndpointId
     transaction: platform_edges.Transaction
     row: rows.DrainRow | None = None
 
 
-class TakeStep(msgspec.Struct, frozen=True):
-    """Take a step towards an endpoint's orders."""
+class RunStep(msgspec.Struct, frozen=True):
+    """Run the next step of an endpoint's orders."""
 
     endpoint: ids.EndpointId
     step: steps.Step
@@ -57,15 +57,15 @@
 
 ToEndpoint = Probe | FetchLoad | FetchEvents
 ToPlatform = FetchList | ScanDrains | StoreDrain
-Call = ToEndpoint | ToPlatform | TakeStep
+Call = ToEndpoint | ToPlatform | RunStep
 
 
 class Done(msgspec.Struct, frozen=True):
-    """A call has ended.
+    """A completed call.
 
     Attributes:
-        sent_at: Monotonic seconds before the call was made.
-        answer: What its edge returned.
+        sent_at: Monotonic seconds, taken before the call was made.
+        answer: The result of the call.
     """
 
     call: Call
--- a/pollenfork/endpoints/client.py
+++ b/pollenfork/endpoints/client.py
@@ -1,4 +1,4 @@
-"""Control calls to an endpoint over HTTP; see `docs/engine-protocol.md`."""
+"""HTTP client for control calls to endpoints; see `docs/engine-protocol.md`."""
 
 from typing import Any, TypeVar
 
@@ -11,10 +11,10 @@
 
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 1.0
-# Connecting and answering take less than `lease.Limits.order_s` together.
+# Together with the connect timeout, it must be below `LeaseTimes.order_s`.
 ORDER_TIMEOUT_S = 8.0
-_POOLS = 256
-_CONNECTIONS = 2  # Kept open to each endpoint.
+_MAX_POOLS = 256
+_CONNECTIONS_PER_ENDPOINT = 2  # Kept open to each endpoint.
 _NOT_RUN = "not_run"
 
 T = TypeVar("T")
@@ -34,18 +34,18 @@
 
 
 def make_pool() -> urllib3.PoolManager:
-    """Returns the connections that all of an instance's clients share."""
+    """Returns the connection pool that all clients of an instance share."""
     return urllib3.PoolManager(
-        num_pools=_POOLS, maxsize=_CONNECTIONS, retries=False
+        num_pools=_MAX_POOLS, maxsize=_CONNECTIONS_PER_ENDPOINT, retries=False
     )
 
 
 class HttpEndpoint:
-    """`edges.Endpoint` over HTTP; for any thread.
+    """Implements `edges.Endpoint` over HTTP; thread-safe.
 
     Args:
         address: `host:port`.
-        pool: From `make_pool`, shared.
+        pool: The shared pool from `make_pool`.
     """
 
     def __init__(self, address: str, pool: urllib3.PoolManager) -> None:
@@ -53,9 +53,9 @@
         self._pool = pool
 
     def check_ready(self) -> Answer[bool]:
-        """Returns whether the endpoint takes new work.
+        """Returns whether the endpoint accepts new work.
 
-        A plain service without the page counts as ready.
+        A plain service without a readiness page counts as ready.
         """
         answer = self._call("GET", "/healthz")
         if isinstance(answer, result.Err):
@@ -66,33 +66,33 @@
         return result.Ok(status != 503)
 
     def fetch_load(self) -> Answer[edges.LoadReport]:
-        """Returns the load report."""
+        """Returns the endpoint's load report."""
         answer = self._call("GET", "/v1/load")
         return answer.and_then(lambda got: _decode(got, edges.LoadReport))
 
     def fetch_cache_events(
         self, after: int
     ) -> Answer[tuple[edges.CacheEvent, ...]]:
-        """Returns cache events past sequence `after`."""
+        """Returns cache events after sequence `after`."""
         answer = self._call("GET", f"/v1/cache-events?after={after}")
         decoded = answer.and_then(lambda got: _decode(got, _Events))
         return decoded.map(lambda page: page.events)
 
     def cancel(self, attempt: ids.AttemptId) -> Answer[edges.CancelOutcome]:
-        """Cancels an attempt and says what became of it."""
+        """Cancels an attempt and returns its outcome."""
         answer = self._call("POST", "/v1/cancel", _Cancel(attempt))
         decoded = answer.and_then(lambda got: _decode(got, _Cancelled))
         return decoded.map(lambda cancelled: cancelled.outcome)
 
     def give_order(self, order: edges.Order) -> Answer[None]:
-        """Gives an order; a refusal with a reason is `Rejected`."""
+        """Sends an order; fails with `Rejected` if it had no effect."""
         answer = self._call("POST", "/v1/orders", order, ORDER_TIMEOUT_S)
         if isinstance(answer, result.Err):
             return result.Err(answer.err_value)
         response = answer.ok_value
         if response.status == 200:
             return result.Ok(None)
-        return result.Err(_judge_refusal(response))
+        return result.Err(_classify_refusal(response))
 
     def _call(
         self,
@@ -124,25 +124,25 @@
 
 
 def _decode(
-    response: urllib3.BaseHTTPResponse, kind: type[T]
+    response: urllib3.BaseHTTPResponse, body_type: type[T]
 ) -> result.Result[T, edges.EndpointFailure]:
     if response.status >= 500:
         return result.Err(edges.Unanswered(detail=f"HTTP {response.status}"))
     if response.status != 200:
         return result.Err(edges.Rejected(detail=f"HTTP {response.status}"))
     try:
-        return result.Ok(msgspec.json.decode(response.data, type=kind))
+        return result.Ok(msgspec.json.decode(response.data, type=body_type))
     except msgspec.MsgspecError as error:
         return result.Err(edges.Rejected(detail=str(error)))
 
 
-def _judge_refusal(
+def _classify_refusal(
     response: urllib3.BaseHTTPResponse,
 ) -> edges.EndpointFailure:
     detail = f"HTTP {response.status}"
     if response.status == 409:
         return edges.Fenced(detail=detail)
-    proved = response.headers.get("X-Outcome") == _NOT_RUN
-    if response.status >= 500 and not proved:
+    not_run = response.headers.get("X-Outcome") == _NOT_RUN
+    if response.status >= 500 and not not_run:
         return edges.Unanswered(detail=detail)
     return edges.Rejected(detail=detail)
--- a/pollenfork/endpoints/drains.py
+++ b/pollenfork/endpoints/drains.py
@@ -1,4 +1,4 @@
-"""Operators' wishes that endpoints be drained, kept in the table."""
+"""Operators' requests to drain endpoints, kept in the store."""
 
 from collections.abc import Callable
 import logging
@@ -13,8 +13,8 @@
 _LOG = logging.getLogger(__name__)
 
 
-class Drains:
-    """The wishes as this instance last read or wrote them."""
+class DrainRequests:
+    """The drain requests as this instance last read or wrote them."""
 
     def __init__(
         self,
@@ -30,27 +30,32 @@
 
     @property
     def prefix(self) -> str:
-        """The prefix that the keys of all wishes share."""
+        """The common prefix of the keys of all drain requests."""
         return rows.drain_key(self._data_centre, "")
 
-    def list_wished(self) -> frozenset[ids.EndpointId]:
-        """Returns the endpoints that operators want drained."""
+    def list_requested(self) -> frozenset[ids.EndpointId]:
+        """Returns the endpoints that operators requested to drain."""
         return frozenset(self._rows)
 
-    def find_id(self, endpoint: ids.EndpointId) -> str:
-        """Returns the id of the wish, empty where there is none."""
+    def get_id(self, endpoint: ids.EndpointId) -> str:
+        """Returns the id of the drain request; empty if there is none."""
         row = self._rows.get(endpoint)
         return row.drain_id if row else ""
 
     def make_write(
-        self, endpoint: ids.EndpointId, wished: bool
+        self, endpoint: ids.EndpointId, draining: bool
     ) -> calls.StoreDrain | None:
-        """Returns the write of a wish, None where it stands already."""
-        if wished == (endpoint in self._rows):
+        """Returns the write that is needed, or None if it is stored already.
+
+        Args:
+            endpoint: The endpoint to drain.
+            draining: Whether to store a request or to withdraw it.
+        """
+        if draining == (endpoint in self._rows):
             return None
         key = rows.drain_key(self._data_centre, endpoint)
         write_id = self._new_id()
-        if not wished:
+        if not draining:
             deletes = (platform_edges.Delete(key),)
             transaction = platform_edges.Transaction(write_id, deletes=deletes)
             return calls.StoreDrain(endpoint, transaction)
@@ -62,27 +67,27 @@
         transaction = platform_edges.Transaction(write_id, puts=puts)
         return calls.StoreDrain(endpoint, transaction, row)
 
-    def take_scan(
+    def handle_scan(
         self, found: tuple[platform_edges.Row, ...], sent_at: float
     ) -> None:
-        """Takes in all wishes as read; the reading was sent at `sent_at`."""
+        """Handles a read of all drain requests that was sent at `sent_at`."""
         if sent_at < self._written_at:
-            return  # It may be older than what was written meanwhile.
-        wishes = {}
+            return  # It may not include a later write of this instance.
+        requests = {}
         for row in found:
             decoded = rows.decode(row.value, rows.DrainRow)
             if isinstance(decoded, result.Ok):
-                wishes[decoded.ok_value.endpoint] = decoded.ok_value
+                requests[decoded.ok_value.endpoint] = decoded.ok_value
             else:
                 _LOG.warning("event=bad_row key=%s", row.key)
-        self._rows = wishes
+        self._rows = requests
 
-    def take_write(self, call: calls.StoreDrain, now: float) -> None:
-        """Takes in that a wish was stored or withdrawn."""
+    def handle_write(self, call: calls.StoreDrain, now: float) -> None:
+        """Handles that a request was stored or withdrawn."""
         self._written_at = now
-        wishes = dict(self._rows)
+        requests = dict(self._rows)
         if call.row:
-            wishes[call.endpoint] = call.row
+            requests[call.endpoint] = call.row
         else:
-            wishes.pop(call.endpoint, None)
-        self._rows = wishes
+            requests.pop(call.endpoint, None)
+        self._rows = requests
--- a/pollenfork/endpoints/edges.py
+++ b/pollenfork/endpoints/edges.py
@@ -1,6 +1,6 @@
-"""An endpoint's control interface as the rest of the program sees it.
+"""The control interface of an endpoint.
 
-The data path (requests and their answers) is `answers`' own.
+Requests and their answers are sent by `answers`.
 """
 
 import enum
@@ -14,26 +14,26 @@
 
 
 class EndpointFailure(failures.Failure, frozen=True, kw_only=True):
-    """Base of the failures of calls to an endpoint."""
+    """Base class of failed calls to an endpoint."""
 
 
 class Unreachable(EndpointFailure, frozen=True, kw_only=True):
-    """No connection: the call was never sent.
+    """The connection failed; the call was not sent.
 
     Attributes:
-        refused: The host answered that nothing listens at the port, so the
-            process that did has ended.
+        refused: The host refused the connection, so the process that
+            listened on the port has ended.
     """
 
     refused: bool = False
 
 
 class Unanswered(EndpointFailure, frozen=True, kw_only=True):
-    """The call was sent, the answer was lost."""
+    """The call was sent, but no valid answer arrived."""
 
 
 class Fenced(EndpointFailure, frozen=True, kw_only=True):
-    """The endpoint has seen a higher fencing number and refused."""
+    """The endpoint refused: it has seen a higher fencing number."""
 
 
 class Rejected(EndpointFailure, frozen=True, kw_only=True):
@@ -41,7 +41,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """`GET /v1/load` of an engine; `age_ms` is how old it is."""
+    """An engine's answer to `GET /v1/load`; `age_ms` is the report's age."""
 
     running: int
     waiting: int
@@ -52,7 +52,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """A prompt prefix entered or left the engine's cache."""
+    """A prompt prefix was added to the engine's cache or evicted."""
 
     sequence: int
     prefix: int
@@ -60,7 +60,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an order tells an endpoint to do."""
+    """The action that an order requests."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -78,7 +78,7 @@
 
 
 class CancelOutcome(enum.Enum):
-    """What became of a request that was cancelled."""
+    """The outcome of a cancelled request."""
 
     NOT_RUN = "not_run"
     CANCELLED = "cancelled"
@@ -90,20 +90,20 @@
     """Control calls to one endpoint."""
 
     def check_ready(self) -> result.Result[bool, EndpointFailure]:
-        """Returns whether the endpoint takes new work; False as it leaves."""
+        """Returns whether the endpoint accepts new work; False if it leaves."""
 
     def fetch_load(self) -> result.Result[LoadReport, EndpointFailure]:
-        """Returns the endpoint's load report, which lags."""
+        """Returns the endpoint's load report, which may be outdated."""
 
     def fetch_cache_events(
         self, after: int
     ) -> result.Result[tuple[CacheEvent, ...], EndpointFailure]:
-        """Returns cache events past sequence `after`; late, with gaps."""
+        """Returns cache events after sequence `after`; gaps are possible."""
 
     def cancel(
         self, attempt: ids.AttemptId
     ) -> result.Result[CancelOutcome, EndpointFailure]:
-        """Cancels an attempt and says what became of it."""
+        """Cancels an attempt and returns its outcome."""
 
     def give_order(self, order: Order) -> result.Result[None, EndpointFailure]:
-        """Gives an order; `Fenced` where a later holder was seen."""
+        """Sends an order; fails with `Fenced` if a later holder sent one."""
--- a/pollenfork/endpoints/health.py
+++ b/pollenfork/endpoints/health.py
@@ -1,7 +1,7 @@
-"""Whether endpoints take new work, by whoever speaks first.
+"""Tracks whether endpoints accept new work, from several sources.
 
-An endpoint is leaving as long as any sign of it stands, and each kind of
-sign is taken back by its own evidence only; see `docs/design/leaving.md`.
+An endpoint is leaving as long as any source reports it so. A source's report is
+cleared only by evidence from the same source; see `docs/design/leaving.md`.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,78 +11,86 @@
 from pollenfork.endpoints import messages
 from pollenfork.store import edges as platform_edges
 
-UNREACHABLE_PROBES = 3  # Failures in a row before an endpoint is gone.
-READY_ANSWERS = 3  # In a row before an endpoint's own refusal is over.
-ABSENT_S = 10.0  # Out of the list for so long, then in it: listed anew.
-LIST_LAG_S = 120.0  # The list tells of a leaving endpoint by then.
+# Successive failed probes after which an endpoint is gone.
+UNREACHABLE_PROBES = 3
+# Successive ready answers after which an endpoint that refused is ready again.
+READY_ANSWERS = 3
+# An endpoint that was missing from the list for so long is listed anew.
+ABSENT_S = 10.0
+# The most that the instance list lags: by then it shows a leaving endpoint.
+LIST_LAG_S = 120.0
 
 _NEVER = float("-inf")
-_Sign = messages.Sign
+_Source = messages.LeavingSource
 _State = dispatch_messages.EndpointState
 
 
-class Record:
-    """What is known of one endpoint; times are monotonic seconds."""
+class EndpointHealth:
+    """The health of one endpoint; times are in monotonic seconds."""
 
     def __init__(self) -> None:
         self.state: _State | None = None
-        self.signs: set[_Sign] = set()
-        self.heard_at = _NEVER
-        self._asked_at = _NEVER  # When the latest answered probe was sent.
-        self._ready = 0
-        self._failed = 0
-        self._failed_since = _NEVER
-        self._ended = False  # Nothing listened at its port meanwhile.
-        self._started_at = _NEVER  # When it was seen to have started anew.
-        self._listed_at = _NEVER  # When the list's sign was first seen.
-        self._unlisted_at: float | None = None  # Then it said live, till now.
+        self.leaving_sources: set[_Source] = set()
+        self.last_answer_at = _NEVER
+        self._probed_at = _NEVER  # When the latest answered probe was sent.
+        self._ready_answers = 0
+        self._failures = 0
+        self._failing_since = _NEVER
+        # Whether the port refused a connection since the endpoint last
+        # answered that it isn't ready, or last restarted.
+        self._port_closed = False
+        self._restarted_at = _NEVER  # When a restart was last detected.
+        self._listed_leaving_at = _NEVER  # When first listed as leaving.
+        # Since when it is listed as live again, after it was listed leaving.
+        self._listed_live_since: float | None = None
         self._absent_since: float | None = None
-        self._claims: dict[ids.InstanceId | None, float] = {}
-        # Claims from before a new start, until their peers take them back.
-        self._outdated: set[ids.InstanceId | None] = set()
-
-    def hear_ready(self, ready: bool, sent_at: float, now: float) -> None:
-        """Takes the endpoint's own word, asked for at `sent_at`."""
-        if sent_at < self._asked_at:
-            return  # A later question was answered first.
-        self._asked_at = sent_at
-        self.heard_at = now
-        self._failed = 0
+        # When each peer last reported the endpoint as leaving.
+        self._peer_claims: dict[ids.InstanceId | None, float] = {}
+        # Claims from before a restart, until their peers withdraw them.
+        self._stale_claims: set[ids.InstanceId | None] = set()
+
+    def record_ready(self, ready: bool, sent_at: float, now: float) -> None:
+        """Records the answer to a readiness probe sent at `sent_at`."""
+        if sent_at < self._probed_at:
+            return  # A later probe was answered first.
+        self._probed_at = sent_at
+        self.last_answer_at = now
+        self._failures = 0
         if not ready:
-            self._ready = 0
-            self._ended = False
-            self.signs.add(_Sign.OWN)
+            self._ready_answers = 0
+            self._port_closed = False
+            self.leaving_sources.add(_Source.READINESS)
             return
-        self._ready += 1
-        if self._ready < READY_ANSWERS:
+        self._ready_answers += 1
+        if self._ready_answers < READY_ANSWERS:
             return
-        self.signs.discard(_Sign.OWN)
-        if self._ended:
-            self._ended = False
-            self._started_at = now
-            self._outdated = set(self._claims)
-            self.drop_old_claims(now)
-
-    def hear_failure(self, refused: bool, sent_at: float, now: float) -> None:
-        """Takes a question without answer."""
-        if sent_at < self._asked_at:
+        self.leaving_sources.discard(_Source.READINESS)
+        if self._port_closed:
+            self._port_closed = False
+            self._restarted_at = now
+            self._stale_claims = set(self._peer_claims)
+            self.expire_claims(now)
+
+    def record_failure(self, refused: bool, sent_at: float, now: float) -> None:
+        """Records a probe that got no answer."""
+        if sent_at < self._probed_at:
             return
-        self._asked_at = sent_at
-        self._ready = 0
-        if not self._failed:
-            self._failed_since = now
-        self._failed += 1
-        self._ended = self._ended or refused
-
-    def hear_list(
+        self._probed_at = sent_at
+        self._ready_answers = 0
+        if not self._failures:
+            self._failing_since = now
+        self._failures += 1
+        self._port_closed = self._port_closed or refused
+
+    def record_listed(
         self, status: platform_edges.InstanceStatus | None, now: float
     ) -> None:
-        """Takes what the platform's list says; None where it is absent.
+        """Records the status in the platform's list; None if it is absent.
 
-        A list that says live takes its own sign back only after the
-        endpoint was absent from it, or was seen to have started anew. Where
-        the start came first, the sign may be of the life before it, as the
-        list lags; the list has then to say live for as long as it may lag.
+        The status "live" clears an earlier "leaving" of the list only if the
+        endpoint was absent from the list in between or has restarted since. If
+        the restart came shortly before, the list may have lagged and meant the
+        earlier process; it must then say "live" for as long as it may lag.
         """
         if status is None:
             if self._absent_since is None:
@@ -90,173 +98,179 @@
             return
         since, self._absent_since = self._absent_since, None
         if status is platform_edges.InstanceStatus.LEAVING:
-            self._unlisted_at = None
-            if _Sign.LIST not in self.signs:
-                self._listed_at = now
-                self.signs.add(_Sign.LIST)
+            self._listed_live_since = None
+            if _Source.INSTANCE_LIST not in self.leaving_sources:
+                self._listed_leaving_at = now
+                self.leaving_sources.add(_Source.INSTANCE_LIST)
             return
-        if _Sign.LIST not in self.signs:
+        if _Source.INSTANCE_LIST not in self.leaving_sources:
             return
-        if self._unlisted_at is None:
-            self._unlisted_at = now
-        listed_anew = since is not None and now - since >= ABSENT_S
-        started_since = self._started_at > self._listed_at
-        started_before = self._started_at > self._listed_at - LIST_LAG_S
-        lasting = now - self._unlisted_at >= LIST_LAG_S
-        if listed_anew or started_since or (started_before and lasting):
-            self._unlisted_at = None
-            self.signs.discard(_Sign.LIST)
-
-    def hear_drain(self, wished: bool) -> None:
-        """Takes whether an operator wants it drained."""
-        if wished:
-            self.signs.add(_Sign.DRAIN)
+        if self._listed_live_since is None:
+            self._listed_live_since = now
+        relisted = since is not None and now - since >= ABSENT_S
+        restarted_since = self._restarted_at > self._listed_leaving_at
+        restarted_before = (
+            self._restarted_at > self._listed_leaving_at - LIST_LAG_S
+        )
+        lasting = now - self._listed_live_since >= LIST_LAG_S
+        if relisted or restarted_since or (restarted_before and lasting):
+            self._listed_live_since = None
+            self.leaving_sources.discard(_Source.INSTANCE_LIST)
+
+    def record_drain(self, requested: bool) -> None:
+        """Records whether an operator requested a drain."""
+        if requested:
+            self.leaving_sources.add(_Source.DRAIN)
         else:
-            self.signs.discard(_Sign.DRAIN)
+            self.leaving_sources.discard(_Source.DRAIN)
 
-    def hear_peer(
+    def record_peer(
         self, leaving: bool, peer: ids.InstanceId | None, now: float
     ) -> None:
-        """Takes what a peer says; None stands for one without a name."""
-        self.drop_old_claims(now)
+        """Records a peer's report; `peer` is None if its name is unknown."""
+        self.expire_claims(now)
         if leaving:
-            self._claims[peer] = now
-            if peer is None:  # It never takes back: each one is news.
-                self._outdated.discard(None)
+            self._peer_claims[peer] = now
+            if peer is None:  # It can't withdraw, so each report is new.
+                self._stale_claims.discard(None)
         else:
-            self._claims.pop(peer, None)
-        self.drop_old_claims(now)
+            self._peer_claims.pop(peer, None)
+        self.expire_claims(now)
 
-    def drop_old_claims(self, now: float) -> None:
-        """Drops claims that their peers took back or no longer repeat."""
-        self._claims = {
+    def expire_claims(self, now: float) -> None:
+        """Drops claims that their peers haven't repeated in time."""
+        self._peer_claims = {
             peer: at
-            for peer, at in self._claims.items()
+            for peer, at in self._peer_claims.items()
             if now - at < LIST_LAG_S
         }
-        self._outdated &= self._claims.keys()
-        if self._claims.keys() - self._outdated:
-            self.signs.add(_Sign.PEER)
+        self._stale_claims &= self._peer_claims.keys()
+        if self._peer_claims.keys() - self._stale_claims:
+            self.leaving_sources.add(_Source.PEER)
         else:
-            self.signs.discard(_Sign.PEER)
+            self.leaving_sources.discard(_Source.PEER)
 
     def is_suspect(self) -> bool:
-        """Returns whether it has to be asked more closely."""
-        return self.state is not _State.LIVE or self._failed > 0
+        """Returns whether the endpoint has to be probed by every instance."""
+        return self.state is not _State.LIVE or self._failures > 0
 
-    def is_told(self, now: float) -> bool:
-        """Returns whether peers hear from here that it is leaving.
+    def is_announced(self, now: float) -> bool:
+        """Returns whether this instance tells peers that it is leaving.
 
-        What was only heard from peers is not passed on: two instances would
-        confirm each other for ever. Nor is it once the endpoint has long
-        been out of reach from here, as its return could not be seen.
+        Reports of peers are not passed on, as two instances would confirm each
+        other forever. Nor is a leaving endpoint announced once it has been
+        unreachable for long, as this instance couldn't see its return.
         """
-        lost = self._failed >= UNREACHABLE_PROBES
-        if lost and now - self._failed_since > LIST_LAG_S:
+        unreachable = self._failures >= UNREACHABLE_PROBES
+        if unreachable and now - self._failing_since > LIST_LAG_S:
             return False
-        return bool(self.signs - {_Sign.PEER})
+        return bool(self.leaving_sources - {_Source.PEER})
 
-    def judge(self) -> _State | None:
-        """Returns its state, None while nothing is known."""
-        if self._failed >= UNREACHABLE_PROBES:
+    def evaluate(self) -> _State | None:
+        """Returns the endpoint's state; None while nothing is known."""
+        if self._failures >= UNREACHABLE_PROBES:
             return _State.GONE
-        if self.signs:
+        if self.leaving_sources:
             return _State.LEAVING
-        return _State.LIVE if self._ready else self.state
+        return _State.LIVE if self._ready_answers else self.state
 
 
 class Health:
-    """The health of every endpoint of this data centre."""
+    """The health of all endpoints of this data centre."""
 
     def __init__(self) -> None:
-        self._records: dict[ids.EndpointId, Record] = {}
+        self._records: dict[ids.EndpointId, EndpointHealth] = {}
         self._addresses: dict[ids.EndpointId, str] = {}
-        self._said: dict[ids.InstanceId | None, set[ids.EndpointId]] = {}
-        self._drained: frozenset[ids.EndpointId] = frozenset()
-        self._touched: set[ids.EndpointId] = set()  # To be judged again.
-
-    def plan(self, addresses: Mapping[ids.EndpointId, str]) -> None:
-        """Sets which endpoints there are; one that moved is a new one."""
+        self._leaving_by_peer: dict[
+            ids.InstanceId | None, set[ids.EndpointId]
+        ] = {}
+        self._drain_requests: frozenset[ids.EndpointId] = frozenset()
+        self._changed: set[ids.EndpointId] = set()  # To be evaluated again.
+
+    def set_endpoints(self, addresses: Mapping[ids.EndpointId, str]) -> None:
+        """Sets the endpoints; one with a new address is a new endpoint."""
         self._records = {
             name: self._records[name]
             if self._addresses.get(name) == address
-            else Record()
+            else EndpointHealth()
             for name, address in addresses.items()
         }
         self._addresses = dict(addresses)
-        self.hear_drains(self._drained)
+        self.record_drains(self._drain_requests)
 
-    def find(self, endpoint: ids.EndpointId) -> Record | None:
-        """Returns what is known of an endpoint."""
+    def get(self, endpoint: ids.EndpointId) -> EndpointHealth | None:
+        """Returns the health of an endpoint, if it is known."""
         return self._records.get(endpoint)
 
-    def change(self, endpoint: ids.EndpointId) -> Record:
-        """Returns a record about to be told something."""
-        self._touched.add(endpoint)
+    def get_for_update(self, endpoint: ids.EndpointId) -> EndpointHealth:
+        """Returns an endpoint's health and marks it as changed."""
+        self._changed.add(endpoint)
         return self._records[endpoint]
 
-    def touch_all(self) -> None:
-        """Has every endpoint judged again: time has passed."""
-        self._touched.update(self._records)
+    def mark_all_changed(self) -> None:
+        """Marks all endpoints, as their state also depends on the time."""
+        self._changed.update(self._records)
 
-    def hear_list(
+    def record_list(
         self, listed: tuple[platform_edges.ListedInstance, ...], now: float
     ) -> None:
-        """Takes the platform's list as read just now."""
+        """Records the platform's list, which was just fetched."""
         status: Mapping[str, platform_edges.InstanceStatus] = {
             entry.name: entry.status for entry in listed
         }
         for name in self._records:
-            self.change(name).hear_list(status.get(name), now)
+            self.get_for_update(name).record_listed(status.get(name), now)
 
-    def hear_drains(self, wished: Collection[ids.EndpointId]) -> None:
-        """Takes the endpoints that operators want drained."""
-        self._drained = frozenset(wished)
+    def record_drains(self, requested: Collection[ids.EndpointId]) -> None:
+        """Records the endpoints that operators requested to drain."""
+        self._drain_requests = frozenset(requested)
         for name in self._records:
-            self.change(name).hear_drain(name in self._drained)
+            self.get_for_update(name).record_drain(name in self._drain_requests)
 
-    def hear_peer(
+    def record_peer(
         self,
         leaving: Collection[ids.EndpointId],
         peer: ids.InstanceId | None,
         now: float,
     ) -> None:
-        """Takes all endpoints that a peer says are leaving.
+        """Records the endpoints that a peer reports as leaving.
 
-        What a named peer said earlier and says no longer is taken back;
-        news without a name are added to the earlier ones.
+        The list of a named peer replaces its earlier one; one without a name
+        is added to those reported earlier.
         """
-        before = self._said.get(peer, set()) if peer else set()
-        for name in before - set(leaving):
+        previous = self._leaving_by_peer.get(peer, set()) if peer else set()
+        for name in previous - set(leaving):
             if name in self._records:
-                self.change(name).hear_peer(False, peer, now)
+                self.get_for_update(name).record_peer(False, peer, now)
         for name in leaving:
             if name in self._records:
-                self.change(name).hear_peer(True, peer, now)
+                self.get_for_update(name).record_peer(True, peer, now)
         if peer:
-            self._said[peer] = set(leaving)
+            self._leaving_by_peer[peer] = set(leaving)
 
-    def forget_peers(self, live: Collection[ids.InstanceId]) -> None:
-        """Drops lists of peers that are gone; their claims run out."""
-        self._said = {p: s for p, s in self._said.items() if p in live}
+    def drop_lost_peers(self, live: Collection[ids.InstanceId]) -> None:
+        """Drops the lists of peers that are gone; their claims expire."""
+        self._leaving_by_peer = {
+            p: s for p, s in self._leaving_by_peer.items() if p in live
+        }
 
     def list_leaving(self, now: float) -> tuple[ids.EndpointId, ...]:
-        """Returns the endpoints that peers should hear are leaving."""
+        """Returns the leaving endpoints to announce to peers."""
         return tuple(
             name
             for name, record in self._records.items()
-            if record.signs and record.is_told(now)
+            if record.leaving_sources and record.is_announced(now)
         )
 
-    def judge(self, now: float) -> list[dispatch_messages.EndpointNotice]:
-        """Returns the endpoints whose state has changed."""
-        touched, self._touched = self._touched, set()
+    def evaluate(self, now: float) -> list[dispatch_messages.EndpointNotice]:
+        """Returns a notice for each endpoint whose state has changed."""
+        changed, self._changed = self._changed, set()
         notices = []
-        for name in touched & self._records.keys():
+        for name in changed & self._records.keys():
             record = self._records[name]
-            if record.signs:
-                record.drop_old_claims(now)
-            state = record.judge()
+            if record.leaving_sources:
+                record.expire_claims(now)
+            state = record.evaluate()
             if state is None or state is record.state:
                 continue
             record.state = state
--- a/pollenfork/endpoints/loading.py
+++ b/pollenfork/endpoints/loading.py
@@ -1,7 +1,7 @@
-"""Loads are staggered, so that a model keeps most of its capacity.
+"""Limits how many endpoints load a model at once, to keep capacity available.
 
-A row for each model lists the endpoints that load it; a holder enters its
-endpoint in the same transaction that writes the order down.
+A row for each model lists the endpoints that are loading it. The lease holder
+adds its endpoint in the same transaction that stores the order.
 """
 
 from collections.abc import Mapping
@@ -14,36 +14,38 @@
 from pollenfork.endpoints import rows
 from pollenfork.store import edges as platform_edges
 
-_LOADS = (edges.OrderKind.LOAD_MODEL, edges.OrderKind.LOAD_ADAPTER)
-_NONE = (platform_edges.ABSENT, rows.LoadingRow())
+_LOAD_KINDS = (edges.OrderKind.LOAD_MODEL, edges.OrderKind.LOAD_ADAPTER)
+_ABSENT_ROW = (platform_edges.ABSENT, rows.LoadingRow())
 
 
-class Loading:
-    """The loading rows as one endpoint's holder last read them."""
+class LoadingSlots:
+    """The loading rows as last read for one endpoint's orders."""
 
     def __init__(
         self, endpoint: ids.EndpointId, data_centre: ids.DataCentre
     ) -> None:
         self._endpoint = endpoint
         self._data_centre = data_centre
-        self._carriers: Mapping[str, frozenset[ids.EndpointId]] = {}
+        self._endpoints_by_model: Mapping[str, frozenset[ids.EndpointId]] = {}
         self._rows: dict[str, tuple[int, rows.LoadingRow]] = {}
 
-    def plan(self, carriers: Mapping[str, frozenset[ids.EndpointId]]) -> None:
-        """Sets which endpoints are planned to carry each model."""
-        self._carriers = carriers
+    def set_endpoints(
+        self, endpoints_by_model: Mapping[str, frozenset[ids.EndpointId]]
+    ) -> None:
+        """Sets the endpoints that are configured to serve each model."""
+        self._endpoints_by_model = endpoints_by_model
 
-    def find_unread(self, work: orders.Work) -> str | None:
-        """Returns the key that must be read before `work`, if any."""
+    def find_unread_key(self, work: orders.Work) -> str | None:
+        """Returns the key of the row that must be read first, if any."""
         key = self._make_key(work)
         return key if is_load(work) and key not in self._rows else None
 
-    def take(
+    def handle_row(
         self, key: str, row: platform_edges.Row | None
     ) -> result.Result[None, rows.BadRow]:
-        """Takes in a row as read."""
+        """Handles a row that was read."""
         if row is None:
-            self._rows[key] = _NONE
+            self._rows[key] = _ABSENT_ROW
             return result.Ok(None)
         decoded = rows.decode(row.value, rows.LoadingRow)
         if isinstance(decoded, result.Err):
@@ -51,43 +53,45 @@
         self._rows[key] = (row.version, decoded.ok_value)
         return result.Ok(None)
 
-    def has_room(self, work: orders.Work) -> bool:
-        """Returns whether one more endpoint may load now."""
+    def has_slot(self, work: orders.Work) -> bool:
+        """Returns whether one more endpoint may load the model now."""
         if not is_load(work):
             return True
         _, row = self._rows[self._make_key(work)]
-        carriers = self._find_carriers(work)
-        # Endpoints no longer planned for the model take up no room.
-        others = (set(row.endpoints) & carriers) - {self._endpoint}
-        return len(others) < orders.limit_loading(len(carriers))
+        model_endpoints = self._get_model_endpoints(work)
+        # Endpoints that are no longer configured for the model don't count.
+        others = (set(row.endpoints) & model_endpoints) - {self._endpoint}
+        return len(others) < orders.get_loading_limit(len(model_endpoints))
 
     def make_puts(
-        self, work: orders.Work, enter: bool
+        self, work: orders.Work, add: bool
     ) -> tuple[platform_edges.Put, ...]:
-        """Returns the writes that enter the endpoint or strike it out."""
+        """Returns the writes that add the endpoint to the row or remove it."""
         if not is_load(work):
             return ()
         key = self._make_key(work)
         version, row = self._rows[key]
-        carriers = self._find_carriers(work)
-        names = (set(row.endpoints) & carriers) - {self._endpoint}
-        if enter:
+        model_endpoints = self._get_model_endpoints(work)
+        names = (set(row.endpoints) & model_endpoints) - {self._endpoint}
+        if add:
             names.add(self._endpoint)
         changed = rows.LoadingRow(endpoints=tuple(sorted(names)))
         return (platform_edges.Put(key, rows.encode(changed), version),)
 
-    def forget(self) -> None:
-        """The rows may have changed: they are read again before use."""
+    def invalidate(self) -> None:
+        """Drops the rows, which may have changed; they must be read again."""
         self._rows.clear()
 
     def _make_key(self, work: orders.Work) -> str:
         return rows.loading_key(self._data_centre, work[1])
 
-    def _find_carriers(self, work: orders.Work) -> frozenset[ids.EndpointId]:
+    def _get_model_endpoints(
+        self, work: orders.Work
+    ) -> frozenset[ids.EndpointId]:
         bare, _ = orders.split_version(work[1])
-        return self._carriers.get(bare, frozenset((self._endpoint,)))
+        return self._endpoints_by_model.get(bare, frozenset((self._endpoint,)))
 
 
 def is_load(work: orders.Work) -> bool:
-    """Returns whether the order reads weights."""
-    return work[0] in _LOADS
+    """Returns whether the order loads a model or an adapter."""
+    return work[0] in _LOAD_KINDS
--- a/pollenfork/endpoints/messages.py
+++ b/pollenfork/endpoints/messages.py
@@ -1,4 +1,4 @@
-"""What the slice hears and says, beside `dispatch.messages`."""
+"""Messages of this package, besides those in `dispatch.messages`."""
 
 import enum
 
@@ -8,73 +8,73 @@
 from pollenfork.dispatch import messages as dispatch_messages
 
 
-class Sign(enum.Enum):
-    """Who says that an endpoint is leaving."""
+class LeavingSource(enum.Enum):
+    """A source that reports an endpoint as leaving."""
 
-    OWN = "own"  # Its readiness, asked by this instance.
-    LIST = "list"  # The platform's instance list.
-    DRAIN = "drain"  # An operator's wish in the table.
+    READINESS = "own"  # The endpoint's answer to a readiness probe.
+    INSTANCE_LIST = "list"  # The platform's instance list.
+    DRAIN = "drain"  # An operator's drain request in the store.
     PEER = "peer"  # Another instance.
 
 
 class CacheHint(msgspec.Struct, frozen=True, kw_only=True):
-    """What changed in an engine's prefix cache, as far as it is known.
+    """Known changes of an engine's prefix cache.
 
     Attributes:
-        forget: All that was said earlier may be wrong.
-        stored: Hashes of prefixes that entered the cache.
-        evicted: Hashes of prefixes that left it.
+        invalidates_all: Earlier hints may be wrong and must be dropped.
+        stored: Hashes of prefixes that were added to the cache.
+        evicted: Hashes of prefixes that were evicted.
     """
 
     endpoint: ids.EndpointId
-    forget: bool = False
+    invalidates_all: bool = False
     stored: tuple[int, ...] = ()
     evicted: tuple[int, ...] = ()
 
 
 class EndpointView(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint as the operators' page shows it.
+    """The status of one endpoint, for the operators' page.
 
     Attributes:
-        state: None before the first sign of it.
-        signs: Who says that it is leaving.
-        holder: This instance may give it orders.
-        fencing: The latest number seen, 0 before the first order.
-        order: The order under way, empty where there is none.
-        heard_s: Seconds since its last answer; None before the first.
+        state: None while nothing is known about it.
+        leaving_sources: The sources that report it as leaving.
+        holder: Whether this instance may send it orders.
+        fencing: The latest fencing number seen; 0 before the first order.
+        order: The order in progress; empty if there is none.
+        last_answer_age_s: Seconds since its last answer; None before that.
     """
 
     endpoint: ids.EndpointId
     address: str
     state: dispatch_messages.EndpointState | None
-    signs: tuple[Sign, ...] = ()
+    leaving_sources: tuple[LeavingSource, ...] = ()
     holder: bool = False
     fencing: ids.FencingNumber
     order: str = ""
-    heard_s: float | None = None
+    last_answer_age_s: float | None = None
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed."""
+    """Runs the calls that are due; sent by a timer."""
 
 
 class PeerLeaving(msgspec.Struct, frozen=True):
-    """A peer says which endpoints leave; see `Endpoints`."""
+    """A peer's list of leaving endpoints; see `Endpoints`."""
 
     endpoints: tuple[ids.EndpointId, ...]
     peer: ids.InstanceId | None
 
 
 class MakeDrain(msgspec.Struct, frozen=True):
-    """Asks for the write of a wish to drain; answers with a `Result`."""
+    """Requests the write that stores or withdraws a drain request."""
 
     endpoint: ids.EndpointId
-    wished: bool
+    draining: bool
 
 
 class ListEndpoints(msgspec.Struct, frozen=True):
-    """Asks for the operators' view."""
+    """Requests the status of all endpoints."""
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """Starts no further order."""
+    """Stops the start of further orders."""
--- a/pollenfork/endpoints/orders.py
+++ b/pollenfork/endpoints/orders.py
@@ -1,4 +1,4 @@
-"""Orders: from what the settings wish for to the next order to give."""
+"""Derives the orders that an endpoint needs from its desired state."""
 
 from collections.abc import Collection, Iterator
 
@@ -11,16 +11,17 @@
 
 Work = tuple[edges.OrderKind, str]  # An order's kind and argument.
 
-LOADING_SHARE = 0.25  # Part of a model's endpoints that may load at once.
+# The fraction of a model's endpoints that may load at the same time.
+MAX_LOADING_FRACTION = 0.25
 
 
 class Desired(msgspec.Struct, frozen=True, kw_only=True):
-    """What one endpoint should be; durable in the settings and the table.
+    """The desired state of one endpoint, from the settings and the store.
 
     Attributes:
         models: Each as `name` or `name@version`, in the order of loading.
-        role: Empty leaves the endpoint's role as it is.
-        drain: Id of an operator's wish that it take no new work, or empty.
+        role: If empty, the endpoint's role isn't changed.
+        drain: The id of an operator's drain request; empty if there is none.
     """
 
     models: tuple[str, ...] = ()
@@ -31,7 +32,7 @@
 
 
 def make_desired(settings: model.EndpointSettings, drain: str) -> Desired:
-    """Returns what the settings and the operators' wishes ask for."""
+    """Returns the state that the settings and a drain request ask for."""
     runs_models = settings.kind is model.EndpointKind.RUNNER
     return Desired(
         models=settings.models if runs_models else (),
@@ -49,9 +50,9 @@
 ) -> Iterator[Work]:
     """Yields the orders that the endpoint still needs, in order.
 
-    A drain comes alone: an endpoint that leaves needs no models. `reported`
-    is what the endpoint's own load report names; a model that it lacks
-    (after a crash) is ordered again.
+    Only a drain is ordered if one is requested, as a leaving endpoint needs no
+    models. `reported` are the models in the endpoint's load report; one that
+    is missing there, after a crash, is ordered again.
     """
     if desired.drain:
         if applied.drained != desired.drain:
@@ -67,10 +68,10 @@
             yield edges.OrderKind.LOAD_ADAPTER, adapter
 
 
-def note_done(
+def record_done(
     applied: rows.Applied, kind: edges.OrderKind, argument: str
 ) -> rows.Applied:
-    """Returns `applied` after the endpoint confirmed an order."""
+    """Returns `applied` with an order that the endpoint has confirmed."""
     match kind:
         case edges.OrderKind.LOAD_MODEL:
             models = _replace_version(applied.models, argument)
@@ -87,7 +88,7 @@
 def make_order(
     endpoint: ids.EndpointId, row: rows.LeaseRow, pending: rows.PendingOrder
 ) -> edges.Order:
-    """Returns the order as sent; a repeat has the same id."""
+    """Returns the order to send; a retry has the same id."""
     return edges.Order(
         order_id=f"{endpoint}:{pending.sequence}",
         kind=pending.kind,
@@ -96,13 +97,13 @@
     )
 
 
-def limit_loading(carriers: int) -> int:
-    """Returns how many of a model's endpoints may load at once."""
-    return max(1, int(carriers * LOADING_SHARE))
+def get_loading_limit(endpoints: int) -> int:
+    """Returns how many of a model's endpoints may load at the same time."""
+    return max(1, int(endpoints * MAX_LOADING_FRACTION))
 
 
 def split_version(name: str) -> tuple[ids.ModelName, str]:
-    """Returns the name and the version, empty where none is named."""
+    """Returns the bare name, and the version or an empty string."""
     bare, _, version = name.partition("@")
     return ids.ModelName(bare), version
 
@@ -113,7 +114,7 @@
     bare, version = split_version(name)
     if name in reported:
         return True
-    # A report without versions can't tell which one is loaded.
+    # A report without versions doesn't show which version is loaded.
     return bool(version) and bare in reported and name in applied
 
 
--- a/pollenfork/endpoints/rows.py
+++ b/pollenfork/endpoints/rows.py
@@ -1,7 +1,7 @@
-"""Rows that this slice keeps in the platform's table, and their keys.
+"""Rows that this package keeps in the store, and their keys.
 
-Every format stays readable: a later version adds fields with defaults, and
-the golden files in `tests/golden` keep what earlier versions wrote.
+Rows of all earlier versions must stay readable: new fields have defaults, and
+the golden files in `tests/golden` hold rows of earlier versions.
 """
 
 import msgspec
@@ -18,10 +18,10 @@
 
 
 class PendingOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order written down before it is sent, until its answer is known.
+    """An order, stored before it is sent until its outcome is known.
 
     Attributes:
-        sequence: Grows by one with each order to the endpoint.
+        sequence: Incremented with each order to the endpoint.
     """
 
     sequence: int
@@ -30,11 +30,11 @@
 
 
 class Applied(msgspec.Struct, frozen=True, kw_only=True):
-    """What the endpoint has been ordered to and has confirmed.
+    """The orders that the endpoint has confirmed.
 
     Attributes:
         models: Each as `name` or `name@version`.
-        drained: Id of the latest wish to drain that it has confirmed.
+        drained: The id of the latest confirmed drain request.
     """
 
     models: tuple[str, ...] = ()
@@ -44,10 +44,10 @@
 
 
 class LeaseRow(claims.Claim, frozen=True, kw_only=True):
-    """Who may give orders to one endpoint, and how far the orders are.
+    """The lease on one endpoint's orders, and the progress of the orders.
 
     Attributes:
-        sequence: Of the latest order written down.
+        sequence: The sequence number of the latest stored order.
     """
 
     sequence: int = 0
@@ -57,17 +57,17 @@
 
 
 class LoadingRow(msgspec.Struct, frozen=True, kw_only=True):
-    """The endpoints that load one model just now."""
+    """The endpoints that are loading one model."""
 
     endpoints: tuple[ids.EndpointId, ...] = ()
     format: int = FORMAT
 
 
 class DrainRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator's wish that an endpoint take no new work.
+    """An operator's request that an endpoint take no new work.
 
     Attributes:
-        drain_id: Tells a later wish from an earlier one, withdrawn since.
+        drain_id: Distinguishes the request from earlier, withdrawn ones.
     """
 
     drain_id: ids.WriteId
@@ -82,10 +82,10 @@
 
 
 def loading_key(data_centre: ids.DataCentre, model: str) -> str:
-    """Returns the key of a model's loading row; versions share it."""
+    """Returns the key of a model's loading row, which versions share."""
     return f"endpoints/{data_centre}/loading/{model.partition('@')[0]}"
 
 
 def drain_key(data_centre: ids.DataCentre, endpoint: str) -> str:
-    """Returns the key of an endpoint's drain row; all share a prefix."""
+    """Returns the key of an endpoint's drain request."""
     return f"endpoints/{data_centre}/drains/{endpoint}"
--- a/pollenfork/endpoints/steps.py
+++ b/pollenfork/endpoints/steps.py
@@ -1,4 +1,4 @@
-"""What a holder's core asks to have done; one at a time per endpoint."""
+"""Calls needed to send an endpoint its orders; one at a time per endpoint."""
 
 import msgspec
 
@@ -8,34 +8,34 @@
 
 
 class Read(msgspec.Struct, frozen=True):
-    """Read one row of the table."""
+    """Read one row from the store."""
 
     key: str
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Commit a transaction."""
+    """Commit a transaction to the store."""
 
     transaction: platform_edges.Transaction
 
 
-class AskPermit(msgspec.Struct, frozen=True):
-    """Ask the weight store for leave to load a model or adapter."""
+class RequestPermit(msgspec.Struct, frozen=True):
+    """Request a permit from the weight store to load a model or adapter."""
 
     model: ids.ModelName
     version: str
 
 
-class Send(msgspec.Struct, frozen=True):
-    """Send an order, unless it is too late.
+class SendOrder(msgspec.Struct, frozen=True):
+    """Send an order, unless the lease has ended.
 
     Attributes:
-        send_before: Monotonic seconds; checked again right before the
-            sending, as the sender may have been paused meanwhile.
+        send_before: Monotonic seconds. Checked again right before sending, as
+            the process may have been paused since the step was chosen.
     """
 
     order: edges.Order
     send_before: float
 
 
-Step = Read | Write | AskPermit | Send
+Step = Read | Write | RequestPermit | SendOrder
--- a/pollenfork/endpoints/tests/fleet.py
+++ b/pollenfork/endpoints/tests/cluster.py
@@ -7,7 +7,7 @@
 from pollenfork import clock
 from pollenfork import ids
 from pollenfork.dispatch import messages as dispatch_messages
-from pollenfork.endpoints import caller
+from pollenfork.endpoints import call_executor
 from pollenfork.endpoints import calls
 from pollenfork.endpoints import core
 from pollenfork.endpoints import edges
@@ -75,7 +75,7 @@
         self.name = name
         self.platform = fake.FakePlatform(fleet.clock, state=fleet.state)
         self.core = core.Core(ids.InstanceId(name), DC, fleet.new_id)
-        self.caller = caller.Caller(
+        self.caller = call_executor.CallExecutor(
             fleet.clock,
             self.platform.table,
             self.platform.instances,
@@ -151,12 +151,12 @@
         now = self.clock.monotonic()
         live = [member.name for member in self.members]
         for member in self.members:
-            member.core.hear_live(live)
+            member.core.set_live_instances(live)
             self._work(member, now)
         if now % HEARTBEAT == 0:
             self._exchange(now)
         for member in self.members:
-            for news in member.core.take_news(now):
+            for news in member.core.take_updates(now):
                 if isinstance(news, dispatch_messages.EndpointNotice):
                     member.states[news.endpoint] = news.state
                 else:
@@ -168,18 +168,18 @@
         while todo:
             for call in todo:
                 answer = self._call(member, call)
-                member.core.take(calls.Done(call, now, answer), now)
+                member.core.handle_done(calls.Done(call, now, answer), now)
             todo = [
                 call
                 for call in member.core.tick(now)
-                if isinstance(call, calls.TakeStep)
+                if isinstance(call, calls.RunStep)
             ]
 
     def _call(self, member, call):
-        if member.blind and caller.is_to_endpoint(call):
+        if member.blind and call_executor.targets_endpoint(call):
             return result.Err(edges.Unreachable())
         endpoint = self.endpoints.get(getattr(call, "endpoint", None))
-        return member.caller.make(call, endpoint)
+        return member.caller.execute(call, endpoint)
 
     def _exchange(self, now):
         for sender in self.members:
--- a/pollenfork/endpoints/tests/world.py
+++ b/pollenfork/endpoints/tests/simulation.py
@@ -7,10 +7,10 @@
 
 from pollenfork import clock
 from pollenfork import ids
-from pollenfork.endpoints import caller
+from pollenfork.endpoints import call_executor
 from pollenfork.endpoints import calls
 from pollenfork.endpoints import edges
-from pollenfork.endpoints import holder
+from pollenfork.endpoints import order_sender
 from pollenfork.endpoints import orders
 from pollenfork.endpoints import steps
 from pollenfork.leases import lease
@@ -110,7 +110,7 @@
         self.name = name
         self.rank = rank
         self.models = ()
-        self.caller = caller.Caller(
+        self.caller = call_executor.CallExecutor(
             world.clock,
             world.table,
             world.platform.instances,
@@ -124,10 +124,10 @@
         self.stage = ""
         self.answer = None
         self.flight = None
-        self.holder = holder.Holder(
+        self.holder = order_sender.OrderSender(
             ENDPOINT, DC, self.name, self.world.write_ids.__next__
         )
-        self.holder.hear_models(self.world.engine.read_models(), self.now())
+        self.holder.record_models(self.world.engine.read_models(), self.now())
         self.wish(*self.models)
 
     def wish(self, *models):
@@ -136,7 +136,7 @@
             models=self.models,
             checks_fencing=self.world.engine.checks_fencing,
         )
-        self.holder.wish(desired, self.world.carriers)
+        self.holder.set_desired(desired, self.world.carriers)
 
     def now(self):
         return self.world.clock.monotonic()
@@ -152,7 +152,7 @@
 
     def lose_answer(self):
         """The answer to the step under way gets lost."""
-        if isinstance(self.step, steps.Send):
+        if isinstance(self.step, steps.SendOrder):
             if self.stage == "sent":
                 self._forget_flight()
             self.answer = result.Err(edges.Unanswered())
@@ -169,14 +169,14 @@
     def refuse(self):
         """The step has no effect, and its caller is told so."""
         failure = errors.Unavailable()
-        if isinstance(self.step, steps.Send):
+        if isinstance(self.step, steps.SendOrder):
             failure = edges.Unreachable()
         self.answer = result.Err(failure)
         self.stage = "answered"
 
     def _leave_decided(self):
-        call = calls.TakeStep(ENDPOINT, self.step)
-        answer = self.caller.make(call, self)
+        call = calls.RunStep(ENDPOINT, self.step)
+        answer = self.caller.execute(call, self)
         if self.flight in self.world.in_flight:
             self.stage = "sent"
             return
@@ -205,13 +205,13 @@
         self.step = self.answer = None
         match step:
             case steps.Read():
-                self.holder.take_row(answer, self.now())
+                self.holder.handle_row(answer, self.now())
             case steps.Write():
-                self.holder.take_commit(answer, self.now())
-            case steps.AskPermit():
-                self.holder.take_permit(answer, self.now())
-            case steps.Send():
-                self.holder.take_order(answer, self.now())
+                self.holder.handle_commit(answer, self.now())
+            case steps.RequestPermit():
+                self.holder.handle_permit(answer, self.now())
+            case steps.SendOrder():
+                self.holder.handle_order(answer, self.now())
 
 
 def settle(world, instances, seconds=600.0, period=1.0):
--- a/pollenfork/endpoints/tests/test_actor.py
+++ b/pollenfork/endpoints/tests/test_actor.py
@@ -132,11 +132,14 @@
     assert site.read_states()[-1] is dispatch_messages.EndpointState.LEAVING
     [view] = site.endpoints.list_endpoints()
     assert view.fencing == 2
-    assert view.signs == (messages.Sign.DRAIN, messages.Sign.OWN)
+    assert view.leaving_sources == (
+        messages.LeavingSource.DRAIN,
+        messages.LeavingSource.READINESS,
+    )
     assert site.endpoints.withdraw_drain(E1) == result.Ok(None)
     site.run(1.0)
     [view] = site.endpoints.list_endpoints()
-    assert view.signs == (messages.Sign.OWN,)
+    assert view.leaving_sources == (messages.LeavingSource.READINESS,)
 
 
 def test_drain_is_refused_where_it_cannot_be_kept(site):
@@ -153,7 +156,7 @@
 def test_drain_stored_by_another_instance_first_counts_as_stored(site):
     site.apply("model")
     site.run(1.0)
-    other = site.endpoints._core.make_drain(E1, wished=True)
+    other = site.endpoints._core.make_drain(E1, draining=True)
     site.platform.table.commit(other.transaction)
     assert site.endpoints.drain(E1) == result.Ok(None)
     site.run(0.5)
--- a/pollenfork/endpoints/tests/test_hints.py
+++ b/pollenfork/endpoints/tests/test_cache_hints.py
@@ -3,8 +3,8 @@
 import pytest
 
 from pollenfork import ids
+from pollenfork.endpoints import cache_hints
 from pollenfork.endpoints import edges
-from pollenfork.endpoints import hints
 
 
 def make_events(*changes):
@@ -29,16 +29,20 @@
     ],
 )
 def test_hints_follow_the_events(pages, forget, stored, evicted):
-    followed = hints.Hints(ids.EndpointId("e1"))
+    followed = cache_hints.CacheHints(ids.EndpointId("e1"))
     for page in pages:
-        hint = followed.take(make_events(*page))
-    assert (hint.forget, hint.stored, hint.evicted) == (forget, stored, evicted)
+        hint = followed.process(make_events(*page))
+    assert (hint.invalidates_all, hint.stored, hint.evicted) == (
+        forget,
+        stored,
+        evicted,
+    )
 
 
 def test_after_a_restart_events_are_asked_for_from_the_start():
-    followed = hints.Hints(ids.EndpointId("e1"))
-    followed.take(make_events(1, 2, 3))
-    assert followed.ask_after() == 2
-    followed.take([])
-    assert followed.ask_after() == 0
-    assert followed.take(make_events(1)).stored == (10,)
+    followed = cache_hints.CacheHints(ids.EndpointId("e1"))
+    followed.process(make_events(1, 2, 3))
+    assert followed.fetch_after() == 2
+    followed.process([])
+    assert followed.fetch_after() == 0
+    assert followed.process(make_events(1)).stored == (10,)
--- a/pollenfork/endpoints/tests/test_holder.py
+++ b/pollenfork/endpoints/tests/test_holder.py
@@ -7,17 +7,17 @@
 
 from pollenfork import ids
 from pollenfork.endpoints import steps
-from pollenfork.endpoints.tests import world
+from pollenfork.endpoints.tests import simulation
 
-LEASE = world.LIMITS.lease_s
-ORDER = world.LIMITS.order_s
+LEASE = simulation.LIMITS.lease_s
+ORDER = simulation.LIMITS.order_s
 STAGES = 32  # More than a run from reading the row to giving it back has.
 
 
 def make_pair(checks_fencing):
-    here = world.World(checks_fencing)
-    first = world.Instance(here, ids.InstanceId("i1"))
-    second = world.Instance(here, ids.InstanceId("i2"))
+    here = simulation.World(checks_fencing)
+    first = simulation.Instance(here, ids.InstanceId("i1"))
+    second = simulation.Instance(here, ids.InstanceId("i2"))
     first.wish("m@1")
     second.wish("m@2")
     return here, first, second
@@ -28,7 +28,7 @@
     stages = 0
     while first.move():
         stages += 1
-    assert first.holder.read_pending() is None
+    assert first.holder.get_pending() is None
     assert here.engine.read_models() == ("m@1",)
     assert 15 <= stages < STAGES
 
@@ -58,7 +58,7 @@
         here.advance(step)
         passed += step
     first.wish("m@2")  # The paused one hears of the new settings as it wakes.
-    world.settle(here, [first, second], 200.0, 2.0)
+    simulation.settle(here, [first, second], 200.0, 2.0)
     assert here.engine.read_models() == ("m@2",)
 
 
@@ -67,7 +67,7 @@
     checks,
 ):
     here, first, second = make_pair(checks)
-    while not isinstance(first.step, steps.Send):
+    while not isinstance(first.step, steps.SendOrder):
         first.move()
     while second.move():  # The other one counts from here.
         pass
@@ -75,9 +75,9 @@
     first.move()
     assert first.stage == "sent"
     second.wish("m@2")
-    world.settle(here, [second], 200.0)  # The first stays paused.
+    simulation.settle(here, [second], 200.0)  # The first stays paused.
     for flight in list(here.in_flight):  # Only a checking engine's is left.
-        assert isinstance(here.land(flight).err_value, world.edges.Fenced)
+        assert isinstance(here.land(flight).err_value, simulation.edges.Fenced)
     assert here.engine.read_models() == ("m@2",)
 
 
@@ -86,13 +86,13 @@
 )
 def test_next_holder_waits_out_the_old_one(checks, wait):
     here, first, second = make_pair(checks)
-    while first.holder.read_fencing() == 0:
+    while first.holder.get_fencing() == 0:
         first.move()
     here.advance(5.0)
-    world.settle(here, [second], wait - 1.0)
-    assert second.holder.read_fencing() == 1
-    world.settle(here, [second], 3.0)
-    assert second.holder.read_fencing() == 2
+    simulation.settle(here, [second], wait - 1.0)
+    assert second.holder.get_fencing() == 1
+    simulation.settle(here, [second], 3.0)
+    assert second.holder.get_fencing() == 2
 
 
 def test_order_without_answer_is_waited_out_before_the_next():
@@ -101,7 +101,7 @@
         first.move()
     first.lose_answer()  # The order itself may still land.
     first.wish("m@2")
-    world.settle(here, [first], 60.0)
+    simulation.settle(here, [first], 60.0)
     applied = [entry[1:4:2] for entry in here.engine.applied]
     assert applied == [(1, "m@1"), (1, "m@1"), (2, "m@2")]
 
@@ -109,18 +109,18 @@
 def test_order_refused_for_its_number_makes_the_holder_claim_again():
     here, first, _ = make_pair(checks_fencing=True)
     here.engine.highest = 3  # The table was restored from an older copy.
-    world.settle(here, [first], 60.0)
+    simulation.settle(here, [first], 60.0)
     assert here.engine.read_models() == ("m@1",)
     assert here.engine.applied[-1][0] == 3
 
 
 def test_model_that_a_crash_lost_is_ordered_again_but_not_at_once():
     here, first, _ = make_pair(checks_fencing=True)
-    world.settle(here, [first], 10.0)
-    first.holder.hear_models((), first.now())
-    world.settle(here, [first], 40.0)
+    simulation.settle(here, [first], 10.0)
+    first.holder.record_models((), first.now())
+    simulation.settle(here, [first], 40.0)
     assert len(here.engine.applied) == 1  # The report may yet catch up.
-    world.settle(here, [first], 30.0)
+    simulation.settle(here, [first], 30.0)
     assert len(here.engine.applied) == 2
 
 
@@ -131,18 +131,18 @@
 
     def reject_bad(order):
         if order.argument == "bad@1":
-            return world.result.Err(world.edges.Rejected())
+            return simulation.result.Err(simulation.edges.Rejected())
         return apply(order)
 
     here.engine.apply = reject_bad
-    world.settle(here, [first], 10.0)
+    simulation.settle(here, [first], 10.0)
     assert here.engine.read_models() == ("m@1",)
 
 
 def test_lease_given_back_needs_no_wait():
     here, first, second = make_pair(checks_fencing=False)
-    world.settle(here, [first], 5.0)
-    world.settle(here, [second], 1.0)
+    simulation.settle(here, [first], 5.0)
+    simulation.settle(here, [second], 1.0)
     assert here.engine.applied[-1][:2] == (2, 2)
     row = here.find_row("endpoints/dc1/leases/e1")
     assert b'"holder":""' in row.value
@@ -150,38 +150,38 @@
 
 def test_idle_holder_reads_and_writes_nothing():
     here, first, _ = make_pair(checks_fencing=False)
-    world.settle(here, [first], 5.0)
+    simulation.settle(here, [first], 5.0)
     before = here.platform.state.read_counts()
-    world.settle(here, [first], 600.0)
+    simulation.settle(here, [first], 600.0)
     assert here.platform.state.read_counts() == before
 
 
 def test_rank_keeps_candidates_from_racing():
-    here = world.World(checks_fencing=True)
-    later = world.Instance(here, ids.InstanceId("i2"), rank=1)
+    here = simulation.World(checks_fencing=True)
+    later = simulation.Instance(here, ids.InstanceId("i2"), rank=1)
     later.wish("m@1")
-    world.settle(here, [later], 29.0)
+    simulation.settle(here, [later], 29.0)
     assert here.engine.applied == []
-    world.settle(here, [later], 5.0)
+    simulation.settle(here, [later], 5.0)
     assert len(here.engine.applied) == 1
 
 
 def test_no_more_endpoints_of_a_model_load_at_once_than_its_share():
     names = frozenset(ids.EndpointId(f"e{n}") for n in range(1, 9))
-    here = world.World(checks_fencing=True, carriers=names)
+    here = simulation.World(checks_fencing=True, carriers=names)
     key = "endpoints/dc1/loading/m"
     full = b'{"endpoints":["e2","e3"],"format":1}'
     here.put(key, full)
-    first = world.Instance(here, ids.InstanceId("i1"))
+    first = simulation.Instance(here, ids.InstanceId("i1"))
     first.wish("m@1")
-    world.settle(here, [first], 60.0)
+    simulation.settle(here, [first], 60.0)
     assert here.engine.applied == []
     assert (
         here.find_row("endpoints/dc1/leases/e1") is None
     )  # Nor does it hold the lease meanwhile.
     gone = b'{"endpoints":["e2","e99"],"format":1}'
     here.put(key, gone)
-    world.settle(here, [first], 10.0)
+    simulation.settle(here, [first], 10.0)
     assert here.engine.read_models() == ("m@1",)
     assert here.find_row(key).value.startswith(b'{"endpoints":["e2"]')
 
@@ -193,9 +193,9 @@
         checks=strategies.booleans(), count=strategies.integers(2, 3)
     )
     def begin(self, checks, count):
-        self.here = world.World(checks)
+        self.here = simulation.World(checks)
         self.instances = [
-            world.Instance(self.here, ids.InstanceId(f"i{n}"))
+            simulation.Instance(self.here, ids.InstanceId(f"i{n}"))
             for n in range(count)
         ]
         self.wish = ("m@1",)
@@ -236,9 +236,9 @@
             instance.move()
             if instance.stage == "sent":
                 instance.lose_answer()
-            elif not isinstance(instance.step, steps.Send):
-                instance.answer = world.LOST
-        elif not isinstance(instance.step, steps.Send):
+            elif not isinstance(instance.step, steps.SendOrder):
+                instance.answer = simulation.LOST
+        elif not isinstance(instance.step, steps.SendOrder):
             instance.lose_answer()
 
     @stateful.rule(version=strategies.integers(1, 4))
@@ -264,7 +264,7 @@
             return
         for instance in self.instances:
             instance.wish(*self.wish)
-        world.settle(self.here, self.instances, 300.0, 5.0)
+        simulation.settle(self.here, self.instances, 300.0, 5.0)
         assert self.here.engine.read_models() == self.wish
 
 
--- a/pollenfork/endpoints/tests/test_leaving.py
+++ b/pollenfork/endpoints/tests/test_leaving.py
@@ -8,7 +8,7 @@
 from pollenfork import ids
 from pollenfork.endpoints import health
 from pollenfork.endpoints import probe_assignment
-from pollenfork.endpoints.tests import fleet
+from pollenfork.endpoints.tests import cluster
 from pollenfork.standin.platform import config as faults
 from pollenfork.store import edges as platform_edges
 
@@ -19,7 +19,7 @@
 
 
 def start(members=3, endpoints=4):
-    here = fleet.Fleet(members, endpoints)
+    here = cluster.Fleet(members, endpoints)
     here.run(6.0)
     assert here.count_live(E0) == members
     return here
@@ -35,15 +35,17 @@
         member.platform.set_faults(faults.Faults(stale_list=True))
     here.list_all(LIVE, e0=LEAVING)
     first = here.members[0]
-    assert here.run(6.0, lambda: first.states[E0] is not fleet.LIVE) is not None
+    assert (
+        here.run(6.0, lambda: first.states[E0] is not cluster.LIVE) is not None
+    )
 
 
 def stop_by_drain(here):
     member = here.members[0]
-    write = member.core.make_drain(E0, wished=True)
+    write = member.core.make_drain(E0, draining=True)
     answer = member.platform.table.commit(write.transaction)
-    done = fleet.calls.Done(write, here.clock.monotonic(), answer)
-    member.core.take(done, here.clock.monotonic())
+    done = cluster.calls.Done(write, here.clock.monotonic(), answer)
+    member.core.handle_done(done, here.clock.monotonic())
 
 
 def nothing(here):
@@ -117,10 +119,10 @@
     stop_by_list(here)
     here.endpoints[E0].up = False
     here.run(10.0)
-    assert {m.states[E0] for m in here.members} == {fleet.GONE}
+    assert {m.states[E0] for m in here.members} == {cluster.GONE}
     here.endpoints[E0].restart()
     here.run(10.0)
-    assert here.members[0].states[E0] is fleet.LEAVING  # By the old list.
+    assert here.members[0].states[E0] is cluster.LEAVING  # By the old list.
     here.list_all(LIVE)
     for member in here.members:
         member.platform.set_faults(faults.Faults())
@@ -170,10 +172,10 @@
     stop_by_drain(here)
     here.run(20.0)
     member = here.members[0]
-    write = member.core.make_drain(E0, wished=False)
+    write = member.core.make_drain(E0, draining=False)
     answer = member.platform.table.commit(write.transaction)
     now = here.clock.monotonic()
-    member.core.take(fleet.calls.Done(write, now, answer), now)
+    member.core.handle_done(cluster.calls.Done(write, now, answer), now)
     here.run(30.0)
     assert here.count_live(E0) == 0
     here.endpoints[E0].up = False
@@ -187,17 +189,17 @@
     here = start()
     here.endpoints[E0].up = False
     assert here.run(5.0, lambda: here.count_live(E0) == 0) is not None
-    assert here.members[0].states[E0] is fleet.GONE
+    assert here.members[0].states[E0] is cluster.GONE
     here.endpoints[E0].restart()
     assert here.run(5.0, lambda: here.count_live(E0) == 3) is not None
 
 
 def test_late_answer_to_an_earlier_question_changes_nothing():
-    record = health.Record()
-    record.hear_ready(False, sent_at=2.0, now=2.1)
+    record = health.EndpointHealth()
+    record.record_ready(False, sent_at=2.0, now=2.1)
     for _ in range(5):
-        record.hear_ready(True, sent_at=1.0, now=2.2)
-    assert record.judge() is fleet.LEAVING
+        record.record_ready(True, sent_at=1.0, now=2.2)
+    assert record.evaluate() is cluster.LEAVING
 
 
 def test_partition_is_no_new_start():
@@ -206,48 +208,48 @@
     for member in here.members:
         member.blind = True
     here.run(10.0)
-    assert {m.states[E0] for m in here.members} == {fleet.GONE}
+    assert {m.states[E0] for m in here.members} == {cluster.GONE}
     here.list_all(LIVE)
     for member in here.members:
         member.blind = False
         member.platform.set_faults(faults.Faults())
     here.run(60.0)
-    assert {m.states[E0] for m in here.members} == {fleet.LEAVING}
+    assert {m.states[E0] for m in here.members} == {cluster.LEAVING}
 
 
 def test_one_ready_answer_does_not_end_its_own_refusal():
-    record = health.Record()
-    record.hear_ready(False, sent_at=0.0, now=0.0)
+    record = health.EndpointHealth()
+    record.record_ready(False, sent_at=0.0, now=0.0)
     for at in (1.0, 2.0):
-        record.hear_ready(True, sent_at=at, now=at)
-        assert record.judge() is fleet.LEAVING
-    record.hear_ready(True, sent_at=3.0, now=3.0)
-    assert record.judge() is fleet.LIVE
+        record.record_ready(True, sent_at=at, now=at)
+        assert record.evaluate() is cluster.LEAVING
+    record.record_ready(True, sent_at=3.0, now=3.0)
+    assert record.evaluate() is cluster.LIVE
 
 
 def test_claim_from_before_a_new_start_is_outdated_until_made_again():
-    record = health.Record()
+    record = health.EndpointHealth()
     peer = ids.InstanceId("i9")
-    record.hear_peer(True, peer, now=0.0)
-    record.hear_failure(refused=True, sent_at=1.0, now=1.0)
+    record.record_peer(True, peer, now=0.0)
+    record.record_failure(refused=True, sent_at=1.0, now=1.0)
     for at in (2.0, 3.0, 4.0):
-        record.hear_ready(True, sent_at=at, now=at)
-    record.hear_peer(True, peer, now=5.0)
-    assert record.judge() is fleet.LIVE
-    record.hear_peer(False, peer, now=6.0)
-    record.hear_peer(True, peer, now=7.0)
-    assert record.judge() is fleet.LEAVING
+        record.record_ready(True, sent_at=at, now=at)
+    record.record_peer(True, peer, now=5.0)
+    assert record.evaluate() is cluster.LIVE
+    record.record_peer(False, peer, now=6.0)
+    record.record_peer(True, peer, now=7.0)
+    assert record.evaluate() is cluster.LEAVING
 
 
 def test_claim_of_a_lost_peer_runs_out():
-    record = health.Record()
-    record.hear_ready(True, sent_at=0.0, now=0.0)
-    record.hear_peer(True, ids.InstanceId("i9"), now=0.0)
-    assert record.judge() is fleet.LEAVING
-    record.drop_old_claims(health.LIST_LAG_S - 1)
-    assert record.judge() is fleet.LEAVING
-    record.drop_old_claims(health.LIST_LAG_S + 1)
-    assert record.judge() is fleet.LIVE
+    record = health.EndpointHealth()
+    record.record_ready(True, sent_at=0.0, now=0.0)
+    record.record_peer(True, ids.InstanceId("i9"), now=0.0)
+    assert record.evaluate() is cluster.LEAVING
+    record.expire_claims(health.LIST_LAG_S - 1)
+    assert record.evaluate() is cluster.LEAVING
+    record.expire_claims(health.LIST_LAG_S + 1)
+    assert record.evaluate() is cluster.LIVE
 
 
 @pytest.mark.parametrize(
@@ -338,7 +340,7 @@
         self.list_says_live_again()
         self.started_at = self.here.clock.monotonic()
         self.here.run(30.0)
-        assert all(m.states[E0] is fleet.LIVE for m in seeing)
+        assert all(m.states[E0] is cluster.LIVE for m in seeing)
 
     def is_long_listed_live(self):
         """Only the list said so, soon after a start, and long ago."""
@@ -354,7 +356,7 @@
         heard = [m for m in self.here.members if not m.deaf]
         since = self.here.clock.monotonic() - self.leaving_since
         if since >= LIMIT_S:
-            live = [m.name for m in heard if m.states[E0] is fleet.LIVE]
+            live = [m.name for m in heard if m.states[E0] is cluster.LIVE]
             assert not live, live
 
 
--- a/pollenfork/endpoints/tests/test_orders.py
+++ b/pollenfork/endpoints/tests/test_orders.py
@@ -5,7 +5,7 @@
 from pollenfork.endpoints import edges
 from pollenfork.endpoints import orders
 from pollenfork.endpoints import rows
-from pollenfork.endpoints.tests import fleet
+from pollenfork.endpoints.tests import cluster
 
 LOAD = edges.OrderKind.LOAD_MODEL
 ADAPT = edges.OrderKind.LOAD_ADAPTER
@@ -47,7 +47,7 @@
 
 def test_done_load_replaces_the_version():
     before = rows.Applied(models=("m@1", "n@1"), adapters=("m@1",))
-    after = orders.note_done(before, LOAD, "m@2")
+    after = orders.record_done(before, LOAD, "m@2")
     assert after == rows.Applied(models=("n@1", "m@2"), adapters=("m@1",))
 
 
@@ -55,11 +55,11 @@
     ("carriers", "limit"), [(1, 1), (4, 1), (7, 1), (8, 2), (100, 25)]
 )
 def test_a_quarter_loads_at_once(carriers, limit):
-    assert orders.limit_loading(carriers) == limit
+    assert orders.get_loading_limit(carriers) == limit
 
 
 def test_new_version_comes_to_every_endpoint_a_quarter_at_a_time():
-    here = fleet.Fleet(members=3, endpoints=8, permits_per_s=0.2)
+    here = cluster.Fleet(members=3, endpoints=8, permits_per_s=0.2)
     here.run(6.0)
     here.set_models(("m@2",))
     most = 0
