--- a/pollenfork/endpoints/cache_hints.py
+++ b/pollenfork/endpoints/cache_hints.py
@@ -47,7 +47,9 @@
         return messages.CacheHint(
             endpoint=self._endpoint,
             invalidates_all=invalidates_all,
-            stored=tuple(p for p, stored in stored_by_prefix.items() if stored),
+            stored=tuple(
+                prefix for prefix, stored in stored_by_prefix.items() if stored
+            ),
             evicted=tuple(
                 p for p, stored in stored_by_prefix.items() if not stored
             ),
--- a/pollenfork/endpoints/health.py
+++ b/pollenfork/endpoints/health.py
@@ -151,7 +151,7 @@
             self.leaving_sources.discard(_Source.PEER)
 
     def is_suspect(self) -> bool:
-        """Returns whether the endpoint has to be probed by every instance."""
+        """Returns whether to probe the endpoint even if it isn't assigned."""
         return self.state is not _State.LIVE or self._failures > 0
 
     def is_announced(self, now: float) -> bool:
@@ -179,7 +179,7 @@
     """The health of all endpoints of this data centre."""
 
     def __init__(self) -> None:
-        self._records: dict[ids.EndpointId, EndpointHealth] = {}
+        self._endpoints: dict[ids.EndpointId, EndpointHealth] = {}
         self._addresses: dict[ids.EndpointId, str] = {}
         self._leaving_by_peer: dict[
             ids.InstanceId | None, set[ids.EndpointId]
@@ -189,8 +189,8 @@
 
     def set_endpoints(self, addresses: Mapping[ids.EndpointId, str]) -> None:
         """Sets the endpoints; one with a new address is a new endpoint."""
-        self._records = {
-            name: self._records[name]
+        self._endpoints = {
+            name: self._endpoints[name]
             if self._addresses.get(name) == address
             else EndpointHealth()
             for name, address in addresses.items()
@@ -200,16 +200,16 @@
 
     def get(self, endpoint: ids.EndpointId) -> EndpointHealth | None:
         """Returns the health of an endpoint, if it is known."""
-        return self._records.get(endpoint)
+        return self._endpoints.get(endpoint)
 
     def get_for_update(self, endpoint: ids.EndpointId) -> EndpointHealth:
         """Returns an endpoint's health and marks it as changed."""
         self._changed.add(endpoint)
-        return self._records[endpoint]
+        return self._endpoints[endpoint]
 
     def mark_all_changed(self) -> None:
         """Marks all endpoints, as their state also depends on the time."""
-        self._changed.update(self._records)
+        self._changed.update(self._endpoints)
 
     def record_list(
         self, listed: tuple[platform_edges.ListedInstance, ...], now: float
@@ -218,13 +218,13 @@
         status: Mapping[str, platform_edges.InstanceStatus] = {
             entry.name: entry.status for entry in listed
         }
-        for name in self._records:
+        for name in self._endpoints:
             self.get_for_update(name).record_listed(status.get(name), now)
 
     def record_drains(self, requested: Collection[ids.EndpointId]) -> None:
         """Records the endpoints that operators requested to drain."""
         self._drain_requests = frozenset(requested)
-        for name in self._records:
+        for name in self._endpoints:
             self.get_for_update(name).record_drain(name in self._drain_requests)
 
     def record_peer(
@@ -240,10 +240,10 @@
         """
         previous = self._leaving_by_peer.get(peer, set()) if peer else set()
         for name in previous - set(leaving):
-            if name in self._records:
+            if name in self._endpoints:
                 self.get_for_update(name).record_peer(False, peer, now)
         for name in leaving:
-            if name in self._records:
+            if name in self._endpoints:
                 self.get_for_update(name).record_peer(True, peer, now)
         if peer:
             self._leaving_by_peer[peer] = set(leaving)
@@ -258,22 +258,23 @@
         """Returns the leaving endpoints to announce to peers."""
         return tuple(
             name
-            for name, record in self._records.items()
-            if record.leaving_sources and record.is_announced(now)
+            for name, endpoint_health in self._endpoints.items()
+            if endpoint_health.leaving_sources
+            and endpoint_health.is_announced(now)
         )
 
     def evaluate(self, now: float) -> list[dispatch_messages.EndpointNotice]:
         """Returns a notice for each endpoint whose state has changed."""
         changed, self._changed = self._changed, set()
         notices = []
-        for name in changed & self._records.keys():
-            record = self._records[name]
-            if record.leaving_sources:
-                record.expire_claims(now)
-            state = record.evaluate()
-            if state is None or state is record.state:
+        for name in changed & self._endpoints.keys():
+            endpoint_health = self._endpoints[name]
+            if endpoint_health.leaving_sources:
+                endpoint_health.expire_claims(now)
+            state = endpoint_health.evaluate()
+            if state is None or state is endpoint_health.state:
                 continue
-            record.state = state
+            endpoint_health.state = state
             notices.append(
                 dispatch_messages.EndpointNotice(endpoint=name, state=state)
             )
--- a/pollenfork/endpoints/tests/cluster.py
+++ b/pollenfork/endpoints/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Several instances' cores over one platform and some endpoints."""
+"""Simulates several instances with one platform and some endpoints."""
 
 import itertools
 
@@ -23,8 +23,8 @@
 GONE = dispatch_messages.EndpointState.GONE
 
 
-class Endpoint:
-    """An endpoint in memory; `cut` names what can't reach it."""
+class FakeEndpoint:
+    """An endpoint in memory."""
 
     def __init__(self, models=("m",)):
         self.ready = True
@@ -35,11 +35,11 @@
 
     def check_ready(self):
         self.probes += 1
-        return result.Ok(self.ready) if self.up else self._refuse()
+        return result.Ok(self.ready) if self.up else self._refuse_connection()
 
     def fetch_load(self):
         if not self.up:
-            return self._refuse()
+            return self._refuse_connection()
         report = edges.LoadReport(
             running=1, waiting=0, kv_free=0.5, models=self.models, age_ms=500
         )
@@ -53,7 +53,7 @@
 
     def give_order(self, order):
         if not self.up:
-            return self._refuse()
+            return self._refuse_connection()
         self.orders.append(order)
         if order.kind is edges.OrderKind.DRAIN:
             self.ready = False
@@ -64,34 +64,34 @@
     def restart(self):
         self.up, self.ready = True, True
 
-    def _refuse(self):
+    def _refuse_connection(self):
         return result.Err(edges.Unreachable(refused=True))
 
 
-class Member:
-    """One instance: its core, and the platform as it reaches it."""
+class Instance:
+    """One instance: its core and its access to the platform."""
 
-    def __init__(self, fleet, name):
+    def __init__(self, cluster, name):
         self.name = name
-        self.platform = fake.FakePlatform(fleet.clock, state=fleet.state)
-        self.core = core.Core(ids.InstanceId(name), DC, fleet.new_id)
-        self.caller = call_executor.CallExecutor(
-            fleet.clock,
+        self.platform = fake.FakePlatform(cluster.clock, state=cluster.state)
+        self.core = core.Core(ids.InstanceId(name), DC, cluster.new_id)
+        self.executor = call_executor.CallExecutor(
+            cluster.clock,
             self.platform.table,
             self.platform.instances,
             self.platform.weights,
         )
         self.states = {}
         self.reports = []
-        self.blind = False  # Its probes and loads get no answer.
-        self.deaf = False  # Peers' messages to it are lost.
+        self.endpoints_unreachable = False  # Its calls to endpoints fail.
+        self.peers_unreachable = False  # Messages of peers to it are lost.
 
 
-class Fleet:
-    """Everything together, moved on by ticks."""
+class Cluster:
+    """All instances and endpoints, advanced in ticks."""
 
     def __init__(
-        self, members=3, endpoints=4, models=("m",), permits_per_s=100.0
+        self, instances=3, endpoints=4, models=("m",), permits_per_s=100.0
     ):
         self.clock = clock.ManualClock()
         self.state = fake.core.Platform(
@@ -99,10 +99,10 @@
         )
         self._ids = itertools.count()
         self.endpoints = {
-            ids.EndpointId(f"e{n}"): Endpoint() for n in range(endpoints)
+            ids.EndpointId(f"e{n}"): FakeEndpoint() for n in range(endpoints)
         }
-        self.members = [Member(self, f"i{n}") for n in range(members)]
-        self.list_all(platform_edges.InstanceStatus.LIVE)
+        self.instances = [Instance(self, f"i{n}") for n in range(instances)]
+        self.set_listed(platform_edges.InstanceStatus.LIVE)
         self.set_models(models)
 
     def new_id(self):
@@ -119,10 +119,10 @@
             for n, name in enumerate(self.endpoints, 1)
         }
         root = model.RootSettings(endpoints=endpoints)
-        for member in self.members:
-            member.core.apply_tree(model.Tree(root=root))
+        for instance in self.instances:
+            instance.core.apply_tree(model.Tree(root=root))
 
-    def list_all(self, status, **exceptions):
+    def set_listed(self, status, **exceptions):
         listed = tuple(
             platform_edges.ListedInstance(
                 name=name,
@@ -134,56 +134,62 @@
             for name in self.endpoints
             if exceptions.get(name, status) is not None
         )
-        self.members[0].platform.set_instances(*listed)
+        self.instances[0].platform.set_instances(*listed)
 
     def run(self, seconds, until=None):
-        """Moves on; returns seconds until `until` held, or None."""
+        """Advances; returns the seconds until `until` was true, or None."""
         for passed in range(int(seconds / TICK)):
             if until and until():
                 return passed * TICK
-            self._move()
+            self._step()
         return None
 
     def count_live(self, name):
-        return sum(member.states.get(name) is LIVE for member in self.members)
+        return sum(
+            instance.states.get(name) is LIVE for instance in self.instances
+        )
 
-    def _move(self):
+    def _step(self):
         now = self.clock.monotonic()
-        live = [member.name for member in self.members]
-        for member in self.members:
-            member.core.set_live_instances(live)
-            self._work(member, now)
+        live = [instance.name for instance in self.instances]
+        for instance in self.instances:
+            instance.core.set_live_instances(live)
+            self._run_calls(instance, now)
         if now % HEARTBEAT == 0:
-            self._exchange(now)
-        for member in self.members:
-            for news in member.core.take_updates(now):
-                if isinstance(news, dispatch_messages.EndpointNotice):
-                    member.states[news.endpoint] = news.state
+            self._exchange_leaving(now)
+        for instance in self.instances:
+            for update in instance.core.take_updates(now):
+                if isinstance(update, dispatch_messages.EndpointNotice):
+                    instance.states[update.endpoint] = update.state
                 else:
-                    member.reports.append(news)
+                    instance.reports.append(update)
         self.clock.advance(TICK)
 
-    def _work(self, member, now):
-        todo = member.core.tick(now)
-        while todo:
-            for call in todo:
-                answer = self._call(member, call)
-                member.core.handle_done(calls.Done(call, now, answer), now)
-            todo = [
+    def _run_calls(self, instance, now):
+        due = instance.core.tick(now)
+        while due:
+            for call in due:
+                answer = self._call(instance, call)
+                instance.core.handle_done(calls.Done(call, now, answer), now)
+            due = [
                 call
-                for call in member.core.tick(now)
+                for call in instance.core.tick(now)
                 if isinstance(call, calls.RunStep)
             ]
 
-    def _call(self, member, call):
-        if member.blind and call_executor.targets_endpoint(call):
+    def _call(self, instance, call):
+        if instance.endpoints_unreachable and call_executor.targets_endpoint(
+            call
+        ):
             return result.Err(edges.Unreachable())
         endpoint = self.endpoints.get(getattr(call, "endpoint", None))
-        return member.caller.execute(call, endpoint)
+        return instance.executor.execute(call, endpoint)
 
-    def _exchange(self, now):
-        for sender in self.members:
+    def _exchange_leaving(self, now):
+        for sender in self.instances:
             leaving = sender.core.list_leaving(now)
-            for hearer in self.members:
-                if hearer is not sender and not hearer.deaf:
-                    hearer.core.receive_peer_leaving(leaving, sender.name, now)
+            for receiver in self.instances:
+                if receiver is not sender and not receiver.peers_unreachable:
+                    receiver.core.receive_peer_leaving(
+                        leaving, sender.name, now
+                    )
--- a/pollenfork/endpoints/tests/simulation.py
+++ b/pollenfork/endpoints/tests/simulation.py
@@ -1,4 +1,4 @@
-"""A table, an engine and holders that can be paused between any two steps."""
+"""Simulates a store, an engine and instances that can pause at any step."""
 
 import itertools
 
@@ -20,13 +20,13 @@
 
 ENDPOINT = ids.EndpointId("e1")
 DC = ids.DataCentre("dc1")
-LIMITS = lease.LeaseTimes()
+TIMES = lease.LeaseTimes()
 _WITHOUT_RATES = fake.configs.PlatformConfig(reads_per_s=1e6, writes_per_s=1e6)
 LOST = result.Err(errors.Unanswered())
 
 
-class Engine:
-    """Applies orders; says which came out of turn."""
+class FakeEngine:
+    """Applies orders and asserts that they arrive in sequence."""
 
     def __init__(self, checks_fencing):
         self.checks_fencing = checks_fencing
@@ -41,8 +41,8 @@
         entry = (order.fencing, sequence, order.kind, order.argument)
         if self.applied:
             before = self.applied[-1]
-            in_turn = entry[0] >= before[0] and entry[1] >= before[1]
-            assert in_turn, f"{entry} came after {before}"
+            in_order = entry[0] >= before[0] and entry[1] >= before[1]
+            assert in_order, f"{entry} arrived after {before}"
         self.applied.append(entry)
         return result.Ok(None)
 
@@ -62,19 +62,19 @@
     due: float
 
 
-class World:
-    """Everything that instances share, at one time."""
+class Simulation:
+    """The clock, the store and the engine that the instances share."""
 
-    def __init__(self, checks_fencing, carriers=frozenset((ENDPOINT,))):
+    def __init__(self, checks_fencing, model_endpoints=frozenset((ENDPOINT,))):
         self.clock = clock.ManualClock()
         self.platform = fake.FakePlatform(
             self.clock, fake.core.Platform(_WITHOUT_RATES)
         )
         self.table = self.platform.table
-        self.engine = Engine(checks_fencing)
+        self.engine = FakeEngine(checks_fencing)
         self.late_writes = []
         self.in_flight = []
-        self.carriers = {"m": carriers}
+        self.endpoints_by_model = {"m": model_endpoints}
         self.write_ids = (ids.WriteId(f"w{n}") for n in itertools.count())
 
     def find_row(self, key):
@@ -86,88 +86,91 @@
         self.table.commit(platform_edges.Transaction(write_id, puts=(put,)))
 
     def advance(self, seconds):
-        """Moves the clock; an order in flight lands within its time."""
+        """Advances the clock, and delivers orders that are due by then."""
         until = self.clock.monotonic() + seconds
         for flight in sorted(self.in_flight, key=lambda f: f.due):
-            # A fenced engine guards itself, however late the order comes.
+            # An engine that checks fencing numbers may get an order any time
+            # later: it refuses it.
             if flight.due <= until and not self.engine.checks_fencing:
                 wait = flight.due - self.clock.monotonic()
                 self.clock.advance(max(wait, 0.0))
-                self.land(flight)
+                self.deliver(flight)
         self.clock.advance(until - self.clock.monotonic())
 
-    def land(self, flight):
-        """The engine acts on an order whose sender may be gone."""
+    def deliver(self, flight):
+        """Applies an order, whose sender may be gone."""
         self.in_flight.remove(flight)
         return self.engine.apply(flight.order)
 
 
 class Instance:
-    """One holder whose every step can be interrupted."""
+    """An instance with an order sender that can be interrupted at any step."""
 
-    def __init__(self, world, name, rank=0):
-        self.world = world
+    def __init__(self, simulation, name, rank=0):
+        self.simulation = simulation
         self.name = name
         self.rank = rank
         self.models = ()
-        self.caller = call_executor.CallExecutor(
-            world.clock,
-            world.table,
-            world.platform.instances,
-            world.platform.weights,
+        self.executor = call_executor.CallExecutor(
+            simulation.clock,
+            simulation.table,
+            simulation.platform.instances,
+            simulation.platform.weights,
         )
         self.start()
 
     def start(self):
-        """A new process: nothing is remembered."""
+        """Starts a new process without any state."""
         self.step = None
         self.stage = ""
         self.answer = None
         self.flight = None
-        self.holder = order_sender.OrderSender(
-            ENDPOINT, DC, self.name, self.world.write_ids.__next__
+        self.sender = order_sender.OrderSender(
+            ENDPOINT, DC, self.name, self.simulation.write_ids.__next__
         )
-        self.holder.record_models(self.world.engine.read_models(), self.now())
-        self.wish(*self.models)
+        self.sender.record_models(
+            self.simulation.engine.read_models(), self.now()
+        )
+        self.set_models(*self.models)
 
-    def wish(self, *models):
+    def set_models(self, *models):
         self.models = models
         desired = orders.Desired(
             models=self.models,
-            checks_fencing=self.world.engine.checks_fencing,
+            checks_fencing=self.simulation.engine.checks_fencing,
         )
-        self.holder.set_desired(desired, self.world.carriers)
+        self.sender.set_desired(desired, self.simulation.endpoints_by_model)
 
     def now(self):
-        return self.world.clock.monotonic()
+        return self.simulation.clock.monotonic()
 
-    def move(self):
-        """Goes on by one stage; returns whether there was one."""
+    def advance(self):
+        """Runs the next stage; returns whether there was one."""
         if self.step is None:
-            self.step = self.holder.next_step(self.now(), self.rank)
+            self.step = self.sender.next_step(self.now(), self.rank)
             self.stage = "decided" if self.step else ""
             return self.step is not None
         getattr(self, f"_leave_{self.stage}")()
         return True
 
     def lose_answer(self):
-        """The answer to the step under way gets lost."""
+        """Loses the answer to the current step."""
         if isinstance(self.step, steps.SendOrder):
             if self.stage == "sent":
-                self._forget_flight()
+                self._drop_flight()
             self.answer = result.Err(edges.Unanswered())
         else:
             self.answer = LOST
         self.stage = "answered"
 
     def delay_write(self):
-        """The write takes effect later than its caller waits."""
-        self.world.late_writes.append(self.step.transaction)
+        """Lets the write time out, and take effect later."""
+        self.simulation.late_writes.append(self.step.transaction)
         self.answer = LOST
         self.stage = "answered"
 
     def refuse(self):
-        """The step has no effect, and its caller is told so."""
+        """Fails the current step without effect."""
         failure = errors.Unavailable()
         if isinstance(self.step, steps.SendOrder):
             failure = edges.Unreachable()
@@ -176,28 +179,28 @@
 
     def _leave_decided(self):
         call = calls.RunStep(ENDPOINT, self.step)
-        answer = self.caller.execute(call, self)
-        if self.flight in self.world.in_flight:
+        answer = self.executor.execute(call, self)
+        if self.flight in self.simulation.in_flight:
             self.stage = "sent"
             return
         self.answer = answer
         self.stage = "answered"
 
     def give_order(self, order):
-        """Sends the order; the engine's answer comes with the next stage."""
-        self.flight = InFlight(order, self.now() + LIMITS.order_s)
-        self.world.in_flight.append(self.flight)
+        """Sends the order; the engine answers in the next stage."""
+        self.flight = InFlight(order, self.now() + TIMES.order_s)
+        self.simulation.in_flight.append(self.flight)
 
     def _leave_sent(self):
-        if self.flight in self.world.in_flight:
-            self.answer = self.world.land(self.flight)
+        if self.flight in self.simulation.in_flight:
+            self.answer = self.simulation.deliver(self.flight)
         else:
-            self.answer = result.Ok(None)  # It landed while we were paused.
+            self.answer = result.Ok(None)  # Delivered during a pause.
         self.flight = None
         self.stage = "answered"
 
-    def _forget_flight(self):
-        """The order goes on alone; nobody hears what becomes of it."""
+    def _drop_flight(self):
+        """Leaves the order in flight; its answer is lost."""
         self.flight = None
 
     def _leave_answered(self):
@@ -205,20 +208,20 @@
         self.step = self.answer = None
         match step:
             case steps.Read():
-                self.holder.handle_row(answer, self.now())
+                self.sender.handle_row(answer, self.now())
             case steps.Write():
-                self.holder.handle_commit(answer, self.now())
+                self.sender.handle_commit(answer, self.now())
             case steps.RequestPermit():
-                self.holder.handle_permit(answer, self.now())
+                self.sender.handle_permit(answer, self.now())
             case steps.SendOrder():
-                self.holder.handle_order(answer, self.now())
+                self.sender.handle_order(answer, self.now())
 
 
-def settle(world, instances, seconds=600.0, period=1.0):
-    """Lets the instances go on without faults for so many seconds."""
+def run_without_faults(simulation, instances, seconds=600.0, period=1.0):
+    """Runs the instances for some seconds without faults."""
     for _ in range(int(seconds / period)):
         for instance in instances:
             for _ in range(40):
-                if not instance.move():
+                if not instance.advance():
                     break
-        world.advance(period)
+        simulation.advance(period)
--- a/pollenfork/endpoints/tests/test_cache_hints.py
+++ b/pollenfork/endpoints/tests/test_cache_hints.py
@@ -1,4 +1,4 @@
-"""Cache events with gaps, repeats and restarts."""
+"""Cache events with gaps, duplicates and restarts."""
 
 import pytest
 
@@ -23,15 +23,15 @@
         ([[1, 2], [2]], False, (), ()),
         ([[1, 2], [2, 4]], True, (40,), ()),  # A gap.
         ([[1, 4, 5]], True, (40, 50), ()),  # A gap inside a page.
-        ([[1, 2], []], True, (), ()),  # A restart: the last one is gone.
-        ([[1, 2], [7]], True, (70,), ()),  # The log was cut.
+        ([[1, 2], []], True, (), ()),  # A restart: the latest event is gone.
+        ([[1, 2], [7]], True, (70,), ()),  # The engine dropped older events.
         ([[2, 1]], False, (10, 20), ()),  # Out of order.
     ],
 )
-def test_hints_follow_the_events(pages, forget, stored, evicted):
-    followed = cache_hints.CacheHints(ids.EndpointId("e1"))
+def test_hints_by_events(pages, forget, stored, evicted):
+    cache = cache_hints.CacheHints(ids.EndpointId("e1"))
     for page in pages:
-        hint = followed.process(make_events(*page))
+        hint = cache.process(make_events(*page))
     assert (hint.invalidates_all, hint.stored, hint.evicted) == (
         forget,
         stored,
@@ -39,10 +39,10 @@
     )
 
 
-def test_after_a_restart_events_are_asked_for_from_the_start():
-    followed = cache_hints.CacheHints(ids.EndpointId("e1"))
-    followed.process(make_events(1, 2, 3))
-    assert followed.fetch_after() == 2
-    followed.process([])
-    assert followed.fetch_after() == 0
-    assert followed.process(make_events(1)).stored == (10,)
+def test_events_are_fetched_from_the_start_after_a_restart():
+    cache = cache_hints.CacheHints(ids.EndpointId("e1"))
+    cache.process(make_events(1, 2, 3))
+    assert cache.fetch_after() == 2
+    cache.process([])
+    assert cache.fetch_after() == 0
+    assert cache.process(make_events(1)).stored == (10,)
--- a/pollenfork/endpoints/tests/test_client.py
+++ b/pollenfork/endpoints/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client against the engine stand-in, and against broken far ends."""
+"""The client with the engine stand-in, and with servers that answer badly."""
 
 import contextlib
 import socket
@@ -28,7 +28,7 @@
 
 @contextlib.contextmanager
 def answer_with(raw):
-    """Serves `raw` to one connection."""
+    """Answers one connection with `raw`."""
     with socket.create_server(("127.0.0.1", 0)) as server:
 
         def serve():
@@ -70,7 +70,7 @@
     assert isinstance(endpoint.check_ready().err_value, edges.Unanswered)
 
 
-def test_nothing_listens():
+def test_refused_connection_is_reported():
     with socket.create_server(("127.0.0.1", 0)) as server:
         port = server.getsockname()[1]
     endpoint = client.HttpEndpoint(f"127.0.0.1:{port}", POOL)
@@ -95,7 +95,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", edges.Unanswered),
     ],
 )
-def test_order_answered_badly(raw, kind):
+def test_failed_order(raw, kind):
     with answer_with(raw) as endpoint:
         assert type(endpoint.give_order(make_order()).err_value) is kind
 
@@ -112,7 +112,7 @@
         assert endpoint.check_ready() == answer
 
 
-def test_report_that_is_no_json():
+def test_report_with_invalid_json():
     raw = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]"
     with answer_with(raw) as endpoint:
         assert isinstance(endpoint.fetch_load().err_value, edges.Rejected)
--- a/pollenfork/endpoints/tests/test_holder.py
+++ b/pollenfork/endpoints/tests/test_holder.py
@@ -1,4 +1,4 @@
-"""A holder paused at every step, and faults in any order."""
+"""Order senders with pauses at any stage, and faults in any order."""
 
 import hypothesis
 from hypothesis import stateful
@@ -9,27 +9,27 @@
 from pollenfork.endpoints import steps
 from pollenfork.endpoints.tests import simulation
 
-LEASE = simulation.LIMITS.lease_s
-ORDER = simulation.LIMITS.order_s
-STAGES = 32  # More than a run from reading the row to giving it back has.
+LEASE = simulation.TIMES.lease_s
+ORDER = simulation.TIMES.order_s
+STAGES = 32  # More than a run has, from the first read to the release.
 
 
 def make_pair(checks_fencing):
-    here = simulation.World(checks_fencing)
-    first = simulation.Instance(here, ids.InstanceId("i1"))
-    second = simulation.Instance(here, ids.InstanceId("i2"))
-    first.wish("m@1")
-    second.wish("m@2")
-    return here, first, second
+    sim = simulation.Simulation(checks_fencing)
+    first = simulation.Instance(sim, ids.InstanceId("i1"))
+    second = simulation.Instance(sim, ids.InstanceId("i2"))
+    first.set_models("m@1")
+    second.set_models("m@2")
+    return sim, first, second
 
 
-def test_undisturbed_run_has_fewer_stages_than_are_paused():
-    here, first, _ = make_pair(checks_fencing=True)
+def test_run_has_fewer_stages_than_are_tested():
+    sim, first, _ = make_pair(checks_fencing=True)
     stages = 0
-    while first.move():
+    while first.advance():
         stages += 1
-    assert first.holder.get_pending() is None
-    assert here.engine.read_models() == ("m@1",)
+    assert first.sender.get_pending() is None
+    assert sim.engine.read_models() == ("m@1",)
     assert 15 <= stages < STAGES
 
 
@@ -40,167 +40,170 @@
 )
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "ignores"])
 @pytest.mark.parametrize("stage", range(STAGES))
-def test_holder_paused_at_every_step_gives_no_order_out_of_turn(
+def test_holder_paused_at_any_stage_sends_no_stale_order(
     stage, checks, pause, lost
 ):
-    here, first, second = make_pair(checks)
+    sim, first, second = make_pair(checks)
     for _ in range(stage):
-        first.move()
+        first.advance()
     if lost and first.step and first.stage in ("decided", "sent"):
         if isinstance(first.step, steps.Write):
-            first.move()  # The effect happens, its answer is lost.
+            first.advance()  # The write takes effect, its answer is lost.
         first.lose_answer()
     passed = 0.0
-    while passed < pause:  # The other goes on while the first is paused.
-        while second.move():
+    while passed < pause:  # The second continues while the first is paused.
+        while second.advance():
             pass
         step = min(1.0, pause - passed)
-        here.advance(step)
+        sim.advance(step)
         passed += step
-    first.wish("m@2")  # The paused one hears of the new settings as it wakes.
-    simulation.settle(here, [first, second], 200.0, 2.0)
-    assert here.engine.read_models() == ("m@2",)
+    first.set_models("m@2")  # After the pause, it gets the new settings.
+    simulation.run_without_faults(sim, [first, second], 200.0, 2.0)
+    assert sim.engine.read_models() == ("m@2",)
 
 
 @pytest.mark.parametrize("checks", [True, False], ids=["checks", "ignores"])
-def test_order_sent_at_the_end_of_a_lease_lands_before_the_next_holders(
+def test_order_sent_at_the_end_of_a_lease_applies_before_the_next_holders(
     checks,
 ):
-    here, first, second = make_pair(checks)
+    sim, first, second = make_pair(checks)
     while not isinstance(first.step, steps.SendOrder):
-        first.move()
-    while second.move():  # The other one counts from here.
+        first.advance()
+    while second.advance():  # The second counts the lease from now on.
         pass
-    here.advance(LEASE - 1.5)  # Just before it has to stop.
-    first.move()
+    sim.advance(LEASE - 1.5)  # Just before the first has to stop.
+    first.advance()
     assert first.stage == "sent"
-    second.wish("m@2")
-    simulation.settle(here, [second], 200.0)  # The first stays paused.
-    for flight in list(here.in_flight):  # Only a checking engine's is left.
-        assert isinstance(here.land(flight).err_value, simulation.edges.Fenced)
-    assert here.engine.read_models() == ("m@2",)
+    second.set_models("m@2")
+    # The first is still paused.
+    simulation.run_without_faults(sim, [second], 200.0)
+    # Only for an engine that checks fencing numbers, the order is in flight.
+    for flight in list(sim.in_flight):
+        assert isinstance(
+            sim.deliver(flight).err_value, simulation.edges.Fenced
+        )
+    assert sim.engine.read_models() == ("m@2",)
 
 
 @pytest.mark.parametrize(
     ("checks", "wait"), [(True, LEASE), (False, LEASE + ORDER)]
 )
-def test_next_holder_waits_out_the_old_one(checks, wait):
-    here, first, second = make_pair(checks)
-    while first.holder.get_fencing() == 0:
-        first.move()
-    here.advance(5.0)
-    simulation.settle(here, [second], wait - 1.0)
-    assert second.holder.get_fencing() == 1
-    simulation.settle(here, [second], 3.0)
-    assert second.holder.get_fencing() == 2
-
-
-def test_order_without_answer_is_waited_out_before_the_next():
-    here, first, _ = make_pair(checks_fencing=False)
+def test_next_holder_waits_for_the_lease_to_end(checks, wait):
+    sim, first, second = make_pair(checks)
+    while first.sender.get_fencing() == 0:
+        first.advance()
+    sim.advance(5.0)
+    simulation.run_without_faults(sim, [second], wait - 1.0)
+    assert second.sender.get_fencing() == 1
+    simulation.run_without_faults(sim, [second], 3.0)
+    assert second.sender.get_fencing() == 2
+
+
+def test_unanswered_order_delays_the_next_one():
+    sim, first, _ = make_pair(checks_fencing=False)
     while first.stage != "sent":
-        first.move()
-    first.lose_answer()  # The order itself may still land.
-    first.wish("m@2")
-    simulation.settle(here, [first], 60.0)
-    applied = [entry[1:4:2] for entry in here.engine.applied]
+        first.advance()
+    first.lose_answer()  # The order itself may still take effect.
+    first.set_models("m@2")
+    simulation.run_without_faults(sim, [first], 60.0)
+    applied = [entry[1:4:2] for entry in sim.engine.applied]
     assert applied == [(1, "m@1"), (1, "m@1"), (2, "m@2")]
 
 
-def test_order_refused_for_its_number_makes_the_holder_claim_again():
-    here, first, _ = make_pair(checks_fencing=True)
-    here.engine.highest = 3  # The table was restored from an older copy.
-    simulation.settle(here, [first], 60.0)
-    assert here.engine.read_models() == ("m@1",)
-    assert here.engine.applied[-1][0] == 3
+def test_fenced_order_makes_the_holder_claim_again():
+    sim, first, _ = make_pair(checks_fencing=True)
+    sim.engine.highest = 3  # As if the store was restored from a backup.
+    simulation.run_without_faults(sim, [first], 60.0)
+    assert sim.engine.read_models() == ("m@1",)
+    assert sim.engine.applied[-1][0] == 3
 
 
-def test_model_that_a_crash_lost_is_ordered_again_but_not_at_once():
-    here, first, _ = make_pair(checks_fencing=True)
-    simulation.settle(here, [first], 10.0)
-    first.holder.record_models((), first.now())
-    simulation.settle(here, [first], 40.0)
-    assert len(here.engine.applied) == 1  # The report may yet catch up.
-    simulation.settle(here, [first], 30.0)
-    assert len(here.engine.applied) == 2
+def test_model_lost_in_a_crash_is_ordered_again_after_a_delay():
+    sim, first, _ = make_pair(checks_fencing=True)
+    simulation.run_without_faults(sim, [first], 10.0)
+    first.sender.record_models((), first.now())
+    simulation.run_without_faults(sim, [first], 40.0)
+    assert len(sim.engine.applied) == 1  # The report may be outdated.
+    simulation.run_without_faults(sim, [first], 30.0)
+    assert len(sim.engine.applied) == 2
 
 
-def test_rejected_order_lets_the_next_ones_go_on():
-    here, first, _ = make_pair(checks_fencing=True)
-    first.wish("bad@1", "m@1")
-    apply = here.engine.apply
+def test_rejected_order_does_not_block_the_next_ones():
+    sim, first, _ = make_pair(checks_fencing=True)
+    first.set_models("bad@1", "m@1")
+    apply = sim.engine.apply
 
     def reject_bad(order):
         if order.argument == "bad@1":
             return simulation.result.Err(simulation.edges.Rejected())
         return apply(order)
 
-    here.engine.apply = reject_bad
-    simulation.settle(here, [first], 10.0)
-    assert here.engine.read_models() == ("m@1",)
+    sim.engine.apply = reject_bad
+    simulation.run_without_faults(sim, [first], 10.0)
+    assert sim.engine.read_models() == ("m@1",)
 
 
-def test_lease_given_back_needs_no_wait():
-    here, first, second = make_pair(checks_fencing=False)
-    simulation.settle(here, [first], 5.0)
-    simulation.settle(here, [second], 1.0)
-    assert here.engine.applied[-1][:2] == (2, 2)
-    row = here.find_row("endpoints/dc1/leases/e1")
+def test_released_lease_is_available_at_once():
+    sim, first, second = make_pair(checks_fencing=False)
+    simulation.run_without_faults(sim, [first], 5.0)
+    simulation.run_without_faults(sim, [second], 1.0)
+    assert sim.engine.applied[-1][:2] == (2, 2)
+    row = sim.find_row("endpoints/dc1/leases/e1")
     assert b'"holder":""' in row.value
 
 
 def test_idle_holder_reads_and_writes_nothing():
-    here, first, _ = make_pair(checks_fencing=False)
-    simulation.settle(here, [first], 5.0)
-    before = here.platform.state.read_counts()
-    simulation.settle(here, [first], 600.0)
-    assert here.platform.state.read_counts() == before
+    sim, first, _ = make_pair(checks_fencing=False)
+    simulation.run_without_faults(sim, [first], 5.0)
+    before = sim.platform.state.read_counts()
+    simulation.run_without_faults(sim, [first], 600.0)
+    assert sim.platform.state.read_counts() == before
 
 
-def test_rank_keeps_candidates_from_racing():
-    here = simulation.World(checks_fencing=True)
-    later = simulation.Instance(here, ids.InstanceId("i2"), rank=1)
-    later.wish("m@1")
-    simulation.settle(here, [later], 29.0)
-    assert here.engine.applied == []
-    simulation.settle(here, [later], 5.0)
-    assert len(here.engine.applied) == 1
+def test_lower_ranked_candidate_waits():
+    sim = simulation.Simulation(checks_fencing=True)
+    later = simulation.Instance(sim, ids.InstanceId("i2"), rank=1)
+    later.set_models("m@1")
+    simulation.run_without_faults(sim, [later], 29.0)
+    assert sim.engine.applied == []
+    simulation.run_without_faults(sim, [later], 5.0)
+    assert len(sim.engine.applied) == 1
 
 
-def test_no_more_endpoints_of_a_model_load_at_once_than_its_share():
+def test_endpoint_waits_for_a_loading_slot():
     names = frozenset(ids.EndpointId(f"e{n}") for n in range(1, 9))
-    here = simulation.World(checks_fencing=True, carriers=names)
+    sim = simulation.Simulation(checks_fencing=True, model_endpoints=names)
     key = "endpoints/dc1/loading/m"
     full = b'{"endpoints":["e2","e3"],"format":1}'
-    here.put(key, full)
-    first = simulation.Instance(here, ids.InstanceId("i1"))
-    first.wish("m@1")
-    simulation.settle(here, [first], 60.0)
-    assert here.engine.applied == []
-    assert (
-        here.find_row("endpoints/dc1/leases/e1") is None
-    )  # Nor does it hold the lease meanwhile.
+    sim.put(key, full)
+    first = simulation.Instance(sim, ids.InstanceId("i1"))
+    first.set_models("m@1")
+    simulation.run_without_faults(sim, [first], 60.0)
+    assert sim.engine.applied == []
+    # It doesn't hold the lease while it waits.
+    assert sim.find_row("endpoints/dc1/leases/e1") is None
     gone = b'{"endpoints":["e2","e99"],"format":1}'
-    here.put(key, gone)
-    simulation.settle(here, [first], 10.0)
-    assert here.engine.read_models() == ("m@1",)
-    assert here.find_row(key).value.startswith(b'{"endpoints":["e2"]')
+    sim.put(key, gone)
+    simulation.run_without_faults(sim, [first], 10.0)
+    assert sim.engine.read_models() == ("m@1",)
+    assert sim.find_row(key).value.startswith(b'{"endpoints":["e2"]')
 
 
 class HolderMachine(stateful.RuleBasedStateMachine):
-    """Holders, faults of the table and pauses in any order."""
+    """Runs instances with faults of the store and pauses in any order."""
 
     @stateful.initialize(
         checks=strategies.booleans(), count=strategies.integers(2, 3)
     )
     def begin(self, checks, count):
-        self.here = simulation.World(checks)
+        self.sim = simulation.Simulation(checks)
         self.instances = [
-            simulation.Instance(self.here, ids.InstanceId(f"i{n}"))
+            simulation.Instance(self.sim, ids.InstanceId(f"i{n}"))
             for n in range(count)
         ]
-        self.wish = ("m@1",)
+        self.models = ("m@1",)
         for instance in self.instances:
-            instance.wish(*self.wish)
+            instance.set_models(*self.models)
 
     def pick(self, index):
         return self.instances[index % len(self.instances)]
@@ -208,13 +211,13 @@
     @stateful.rule(
         index=strategies.integers(0, 2), times=strategies.integers(1, 12)
     )
-    def move(self, index, times):
+    def run_stages(self, index, times):
         for _ in range(times):
-            self.pick(index).move()
+            self.pick(index).advance()
 
     @stateful.rule(seconds=strategies.sampled_from([0.5, 5, 11, 29, 31, 45]))
     def advance(self, seconds):
-        self.here.advance(float(seconds))
+        self.sim.advance(float(seconds))
 
     @stateful.rule(
         index=strategies.integers(0, 2),
@@ -222,7 +225,7 @@
             ["lose", "lose after", "delay", "refuse", "crash"]
         ),
     )
-    def disturb(self, index, fault):
+    def inject_fault(self, index, fault):
         instance = self.pick(index)
         if fault == "crash":
             instance.start()
@@ -233,7 +236,7 @@
         elif fault == "refuse" and instance.stage == "decided":
             instance.refuse()
         elif fault == "lose after":
-            instance.move()
+            instance.advance()
             if instance.stage == "sent":
                 instance.lose_answer()
             elif not isinstance(instance.step, steps.SendOrder):
@@ -243,29 +246,29 @@
 
     @stateful.rule(version=strategies.integers(1, 4))
     def change_settings(self, version):
-        self.wish = (f"m@{version}",)
+        self.models = (f"m@{version}",)
 
     @stateful.rule(index=strategies.integers(0, 2))
-    def hear_settings(self, index):
-        self.pick(index).wish(*self.wish)
+    def apply_settings(self, index):
+        self.pick(index).set_models(*self.models)
 
     @stateful.rule()
-    def let_late_write_land(self):
-        if self.here.late_writes:
-            self.here.table.commit(self.here.late_writes.pop(0))
+    def apply_late_write(self):
+        if self.sim.late_writes:
+            self.sim.table.commit(self.sim.late_writes.pop(0))
 
     @stateful.rule()
-    def let_order_land(self):
-        if self.here.in_flight:
-            self.here.land(self.here.in_flight[0])
+    def deliver_order(self):
+        if self.sim.in_flight:
+            self.sim.deliver(self.sim.in_flight[0])
 
     def teardown(self):
-        if not hasattr(self, "here"):
+        if not hasattr(self, "sim"):
             return
         for instance in self.instances:
-            instance.wish(*self.wish)
-        simulation.settle(self.here, self.instances, 300.0, 5.0)
-        assert self.here.engine.read_models() == self.wish
+            instance.set_models(*self.models)
+        simulation.run_without_faults(self.sim, self.instances, 300.0, 5.0)
+        assert self.sim.engine.read_models() == self.models
 
 
 TestHolderMachine = HolderMachine.TestCase
--- a/pollenfork/endpoints/tests/test_leaving.py
+++ b/pollenfork/endpoints/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving endpoint gets no new work after 3 s from the first sign."""
+"""A leaving endpoint gets no new work 3 s after any source reports it."""
 
 import hypothesis
 from hypothesis import stateful
@@ -18,183 +18,185 @@
 LIMIT_S = 3.0
 
 
-def start(members=3, endpoints=4):
-    here = cluster.Fleet(members, endpoints)
-    here.run(6.0)
-    assert here.count_live(E0) == members
-    return here
+def start_cluster(instances=3, endpoints=4):
+    sim = cluster.Cluster(instances, endpoints)
+    sim.run(6.0)
+    assert sim.count_live(E0) == instances
+    return sim
 
 
-def stop_own(here):
-    here.endpoints[E0].ready = False
+def refuse_work(sim):
+    sim.endpoints[E0].ready = False
 
 
-def stop_by_list(here):
-    """One member reads the list as it is, the others an old one."""
-    for member in here.members[1:]:
-        member.platform.set_faults(faults.Faults(stale_list=True))
-    here.list_all(LIVE, e0=LEAVING)
-    first = here.members[0]
+def list_as_leaving(sim):
+    """Lists the endpoint as leaving; only one instance reads the new list."""
+    for instance in sim.instances[1:]:
+        instance.platform.set_faults(faults.Faults(stale_list=True))
+    sim.set_listed(LIVE, e0=LEAVING)
+    first = sim.instances[0]
     assert (
-        here.run(6.0, lambda: first.states[E0] is not cluster.LIVE) is not None
+        sim.run(6.0, lambda: first.states[E0] is not cluster.LIVE) is not None
     )
 
 
-def stop_by_drain(here):
-    member = here.members[0]
-    write = member.core.make_drain(E0, draining=True)
-    answer = member.platform.table.commit(write.transaction)
-    done = cluster.calls.Done(write, here.clock.monotonic(), answer)
-    member.core.handle_done(done, here.clock.monotonic())
+def request_drain(sim):
+    instance = sim.instances[0]
+    write = instance.core.make_drain(E0, draining=True)
+    answer = instance.platform.table.commit(write.transaction)
+    done = cluster.calls.Done(write, sim.clock.monotonic(), answer)
+    instance.core.handle_done(done, sim.clock.monotonic())
 
 
-def nothing(here):
+def no_fault(sim):
     pass
 
 
-def take_platform_down(here):
-    for member in here.members:
-        member.platform.set_faults(faults.Faults(down=True))
+def fail_platform(sim):
+    for instance in sim.instances:
+        instance.platform.set_faults(faults.Faults(down=True))
 
 
-def cut_last_from_peers(here):
-    here.members[-1].deaf = True
+def disconnect_last_from_peers(sim):
+    sim.instances[-1].peers_unreachable = True
 
 
-def blind_all_but_first(here):
-    for member in here.members[1:]:
-        member.blind = True
+def disconnect_others_from_endpoints(sim):
+    for instance in sim.instances[1:]:
+        instance.endpoints_unreachable = True
 
 
-SIGNS = [stop_own, stop_by_list, stop_by_drain]
+SOURCES = [refuse_work, list_as_leaving, request_drain]
 
 
-@pytest.mark.parametrize("disturb", [nothing, take_platform_down])
-@pytest.mark.parametrize("sign", SIGNS)
-@pytest.mark.parametrize(("members", "endpoints"), [(3, 4), (8, 12), (16, 40)])
-def test_no_new_work_after_the_limit(sign, disturb, members, endpoints):
-    here = start(members, endpoints)
-    sign(here)
-    disturb(here)
-    assert here.run(LIMIT_S, lambda: here.count_live(E0) == 0) is not None
-    here.run(10.0)
-    assert here.count_live(E0) == 0
-
-
-def test_own_word_reaches_an_instance_that_hears_no_peer():
-    here = start()
-    cut_last_from_peers(here)
-    stop_own(here)
-    assert here.run(LIMIT_S, lambda: here.count_live(E0) == 0) is not None
-
-
-def test_peers_tell_one_that_cannot_ask():
-    here = start()
-    here.members[-1].blind = True
-    stop_own(here)
-    assert here.run(LIMIT_S, lambda: here.count_live(E0) == 0) is not None
-
-
-def test_drain_reaches_one_that_hears_no_peer_through_the_table():
-    here = start()
-    cut_last_from_peers(here)
-    stop_by_drain(here)
-    taken = here.run(12.0, lambda: here.count_live(E0) == 0)
+@pytest.mark.parametrize("fault", [no_fault, fail_platform])
+@pytest.mark.parametrize("report", SOURCES)
+@pytest.mark.parametrize(
+    ("instances", "endpoints"), [(3, 4), (8, 12), (16, 40)]
+)
+def test_no_new_work_after_the_limit(report, fault, instances, endpoints):
+    sim = start_cluster(instances, endpoints)
+    report(sim)
+    fault(sim)
+    assert sim.run(LIMIT_S, lambda: sim.count_live(E0) == 0) is not None
+    sim.run(10.0)
+    assert sim.count_live(E0) == 0
+
+
+def test_refusal_is_seen_by_an_instance_without_peers():
+    sim = start_cluster()
+    disconnect_last_from_peers(sim)
+    refuse_work(sim)
+    assert sim.run(LIMIT_S, lambda: sim.count_live(E0) == 0) is not None
+
+
+def test_peers_inform_an_instance_that_cannot_probe():
+    sim = start_cluster()
+    sim.instances[-1].endpoints_unreachable = True
+    refuse_work(sim)
+    assert sim.run(LIMIT_S, lambda: sim.count_live(E0) == 0) is not None
+
+
+def test_drain_reaches_an_instance_without_peers_through_the_store():
+    sim = start_cluster()
+    disconnect_last_from_peers(sim)
+    request_drain(sim)
+    taken = sim.run(12.0, lambda: sim.count_live(E0) == 0)
     assert taken is not None
-    # The holder, whoever it is, learns it as late and gives the order.
-    ordered = here.run(12.0 - taken, lambda: here.endpoints[E0].orders)
+    # The lease holder, which may be that instance, then sends the order.
+    ordered = sim.run(12.0 - taken, lambda: sim.endpoints[E0].orders)
     assert ordered is not None
 
 
-def test_list_that_still_says_live_never_revives():
-    here = start()
-    stop_by_list(here)
-    here.list_all(LIVE)
-    here.run(300.0)
-    assert here.count_live(E0) == 0
-
-
-def test_new_start_revives_although_the_list_was_slow():
-    here = start()
-    stop_by_list(here)
-    here.endpoints[E0].up = False
-    here.run(10.0)
-    assert {m.states[E0] for m in here.members} == {cluster.GONE}
-    here.endpoints[E0].restart()
-    here.run(10.0)
-    assert here.members[0].states[E0] is cluster.LEAVING  # By the old list.
-    here.list_all(LIVE)
-    for member in here.members:
-        member.platform.set_faults(faults.Faults())
-    here.run(20.0)
-    assert here.count_live(E0) == 3
-
-
-def test_list_that_flaps_soon_after_a_start_revives_only_when_it_lasts():
-    here = start()
-    here.endpoints[E0].up = False
-    here.run(10.0)
-    here.endpoints[E0].restart()
-    here.run(30.0)
-    stop_by_list(here)
-    here.run(LIMIT_S)
-    here.list_all(LIVE)
-    here.run(health.LIST_LAG_S - 10.0)
-    assert here.count_live(E0) == 0
-    here.run(40.0)
-    assert here.count_live(E0) == 3
-
-
-def test_listed_anew_revives():
-    here = start()
-    here.list_all(LIVE, e0=LEAVING)
-    here.run(10.0)
-    here.list_all(LIVE, e0=None)
-    here.run(20.0)
-    assert here.count_live(E0) == 0
-    here.list_all(LIVE)
-    here.run(20.0)
-    assert here.count_live(E0) == 3
-
-
-def test_short_refusal_of_its_own_is_over_when_it_is_ready_again():
-    here = start(8, 50)  # Not every instance asks every endpoint.
-    stop_own(here)
-    here.run(3.0)
-    assert here.count_live(E0) == 0
-    here.endpoints[E0].ready = True
-    here.run(30.0)
-    assert here.count_live(E0) == 8
-
-
-def test_withdrawn_drain_needs_a_new_start_of_the_endpoint():
-    here = start()
-    stop_by_drain(here)
-    here.run(20.0)
-    member = here.members[0]
-    write = member.core.make_drain(E0, draining=False)
-    answer = member.platform.table.commit(write.transaction)
-    now = here.clock.monotonic()
-    member.core.handle_done(cluster.calls.Done(write, now, answer), now)
-    here.run(30.0)
-    assert here.count_live(E0) == 0
-    here.endpoints[E0].up = False
-    here.run(10.0)
-    here.endpoints[E0].restart()
-    here.run(20.0)
-    assert here.count_live(E0) == 3
-
-
-def test_unreachable_is_gone_and_back_is_live():
-    here = start()
-    here.endpoints[E0].up = False
-    assert here.run(5.0, lambda: here.count_live(E0) == 0) is not None
-    assert here.members[0].states[E0] is cluster.GONE
-    here.endpoints[E0].restart()
-    assert here.run(5.0, lambda: here.count_live(E0) == 3) is not None
-
-
-def test_late_answer_to_an_earlier_question_changes_nothing():
+def test_lagging_list_never_makes_an_endpoint_live():
+    sim = start_cluster()
+    list_as_leaving(sim)
+    sim.set_listed(LIVE)
+    sim.run(300.0)
+    assert sim.count_live(E0) == 0
+
+
+def test_restart_makes_an_endpoint_live_although_the_list_lagged():
+    sim = start_cluster()
+    list_as_leaving(sim)
+    sim.endpoints[E0].up = False
+    sim.run(10.0)
+    assert {m.states[E0] for m in sim.instances} == {cluster.GONE}
+    sim.endpoints[E0].restart()
+    sim.run(10.0)
+    assert sim.instances[0].states[E0] is cluster.LEAVING  # As listed.
+    sim.set_listed(LIVE)
+    for instance in sim.instances:
+        instance.platform.set_faults(faults.Faults())
+    sim.run(20.0)
+    assert sim.count_live(E0) == 3
+
+
+def test_list_that_flaps_after_a_restart_must_stay_live():
+    sim = start_cluster()
+    sim.endpoints[E0].up = False
+    sim.run(10.0)
+    sim.endpoints[E0].restart()
+    sim.run(30.0)
+    list_as_leaving(sim)
+    sim.run(LIMIT_S)
+    sim.set_listed(LIVE)
+    sim.run(health.LIST_LAG_S - 10.0)
+    assert sim.count_live(E0) == 0
+    sim.run(40.0)
+    assert sim.count_live(E0) == 3
+
+
+def test_relisted_endpoint_is_live():
+    sim = start_cluster()
+    sim.set_listed(LIVE, e0=LEAVING)
+    sim.run(10.0)
+    sim.set_listed(LIVE, e0=None)
+    sim.run(20.0)
+    assert sim.count_live(E0) == 0
+    sim.set_listed(LIVE)
+    sim.run(20.0)
+    assert sim.count_live(E0) == 3
+
+
+def test_endpoint_that_is_ready_again_is_live():
+    sim = start_cluster(8, 50)  # Not every instance probes every endpoint.
+    refuse_work(sim)
+    sim.run(3.0)
+    assert sim.count_live(E0) == 0
+    sim.endpoints[E0].ready = True
+    sim.run(30.0)
+    assert sim.count_live(E0) == 8
+
+
+def test_withdrawn_drain_requires_a_restart():
+    sim = start_cluster()
+    request_drain(sim)
+    sim.run(20.0)
+    instance = sim.instances[0]
+    write = instance.core.make_drain(E0, draining=False)
+    answer = instance.platform.table.commit(write.transaction)
+    now = sim.clock.monotonic()
+    instance.core.handle_done(cluster.calls.Done(write, now, answer), now)
+    sim.run(30.0)
+    assert sim.count_live(E0) == 0
+    sim.endpoints[E0].up = False
+    sim.run(10.0)
+    sim.endpoints[E0].restart()
+    sim.run(20.0)
+    assert sim.count_live(E0) == 3
+
+
+def test_unreachable_endpoint_is_gone_until_it_returns():
+    sim = start_cluster()
+    sim.endpoints[E0].up = False
+    assert sim.run(5.0, lambda: sim.count_live(E0) == 0) is not None
+    assert sim.instances[0].states[E0] is cluster.GONE
+    sim.endpoints[E0].restart()
+    assert sim.run(5.0, lambda: sim.count_live(E0) == 3) is not None
+
+
+def test_late_answer_to_an_earlier_probe_is_ignored():
     record = health.EndpointHealth()
     record.record_ready(False, sent_at=2.0, now=2.1)
     for _ in range(5):
@@ -202,22 +204,22 @@
     assert record.evaluate() is cluster.LEAVING
 
 
-def test_partition_is_no_new_start():
-    here = start()
-    stop_by_list(here)
-    for member in here.members:
-        member.blind = True
-    here.run(10.0)
-    assert {m.states[E0] for m in here.members} == {cluster.GONE}
-    here.list_all(LIVE)
-    for member in here.members:
-        member.blind = False
-        member.platform.set_faults(faults.Faults())
-    here.run(60.0)
-    assert {m.states[E0] for m in here.members} == {cluster.LEAVING}
+def test_partition_is_not_a_restart():
+    sim = start_cluster()
+    list_as_leaving(sim)
+    for instance in sim.instances:
+        instance.endpoints_unreachable = True
+    sim.run(10.0)
+    assert {m.states[E0] for m in sim.instances} == {cluster.GONE}
+    sim.set_listed(LIVE)
+    for instance in sim.instances:
+        instance.endpoints_unreachable = False
+        instance.platform.set_faults(faults.Faults())
+    sim.run(60.0)
+    assert {m.states[E0] for m in sim.instances} == {cluster.LEAVING}
 
 
-def test_one_ready_answer_does_not_end_its_own_refusal():
+def test_one_ready_answer_does_not_clear_a_refusal():
     record = health.EndpointHealth()
     record.record_ready(False, sent_at=0.0, now=0.0)
     for at in (1.0, 2.0):
@@ -227,7 +229,7 @@
     assert record.evaluate() is cluster.LIVE
 
 
-def test_claim_from_before_a_new_start_is_outdated_until_made_again():
+def test_claim_from_before_a_restart_is_ignored_until_renewed():
     record = health.EndpointHealth()
     peer = ids.InstanceId("i9")
     record.record_peer(True, peer, now=0.0)
@@ -241,7 +243,7 @@
     assert record.evaluate() is cluster.LEAVING
 
 
-def test_claim_of_a_lost_peer_runs_out():
+def test_claim_of_a_lost_peer_expires():
     record = health.EndpointHealth()
     record.record_ready(True, sent_at=0.0, now=0.0)
     record.record_peer(True, ids.InstanceId("i9"), now=0.0)
@@ -261,102 +263,108 @@
 
 
 class LeavingMachine(stateful.RuleBasedStateMachine):
-    """Signs, stale lists, lost messages and restarts in any order."""
+    """Applies reports, stale lists, faults and restarts in any order."""
 
     @stateful.initialize()
     def begin(self):
-        self.here = start(members=3, endpoints=2)
-        self.endpoint = self.here.endpoints[E0]
+        self.sim = start_cluster(instances=3, endpoints=2)
+        self.endpoint = self.sim.endpoints[E0]
         self.leaving_since = None
-        self.started_at = -health.LIST_LAG_S
+        self.restarted_at = -health.LIST_LAG_S
         self.listed_live_since = 0.0
 
-    def note_leaving(self):
+    def record_leaving(self):
         if self.leaving_since is None:
-            self.leaving_since = self.here.clock.monotonic()
+            self.leaving_since = self.sim.clock.monotonic()
 
     @stateful.rule()
-    def say_so_itself(self):
-        stop_own(self.here)
-        self.note_leaving()
+    def refuse(self):
+        refuse_work(self.sim)
+        self.record_leaving()
 
     @stateful.rule()
-    def be_listed_leaving_at_one(self):
-        reader = self.here.members[0]
+    def report_by_list_to_one(self):
+        reader = self.sim.instances[0]
         reader.platform.set_faults(faults.Faults())
-        stop_by_list(self.here)
+        list_as_leaving(self.sim)
         self.listed_live_since = None
-        self.note_leaving()
+        self.record_leaving()
 
     @stateful.rule(index=strategies.integers(0, 2))
-    def list_lags_at(self, index):
-        member = self.here.members[index]
-        member.platform.set_faults(faults.Faults(stale_list=True))
+    def delay_list_at(self, index):
+        instance = self.sim.instances[index]
+        instance.platform.set_faults(faults.Faults(stale_list=True))
 
     @stateful.rule(index=strategies.integers(0, 2))
-    def platform_is_down_at(self, index):
-        member = self.here.members[index]
-        member.platform.set_faults(faults.Faults(down=True))
+    def fail_platform_at(self, index):
+        instance = self.sim.instances[index]
+        instance.platform.set_faults(faults.Faults(down=True))
 
     @stateful.rule(index=strategies.integers(1, 2))
     def lose_messages_to(self, index):
-        if not self.here.members[index].blind:
-            self.here.members[index].deaf = True
+        if not self.sim.instances[index].endpoints_unreachable:
+            self.sim.instances[index].peers_unreachable = True
 
     @stateful.rule(index=strategies.integers(1, 2))
     def lose_answers_to(self, index):
-        if not self.here.members[index].deaf:
-            self.here.members[index].blind = True
+        if not self.sim.instances[index].peers_unreachable:
+            self.sim.instances[index].endpoints_unreachable = True
 
     @stateful.rule()
-    def heal(self):
-        for member in self.here.members:
-            member.blind = member.deaf = False
-            member.platform.set_faults(faults.Faults())
+    def end_faults(self):
+        for instance in self.sim.instances:
+            instance.endpoints_unreachable = instance.peers_unreachable = False
+            instance.platform.set_faults(faults.Faults())
 
     @stateful.rule()
-    def list_says_live_again(self):
-        self.here.list_all(LIVE)
+    def list_as_live(self):
+        self.sim.set_listed(LIVE)
         if self.listed_live_since is None:
-            self.listed_live_since = self.here.clock.monotonic()
+            self.listed_live_since = self.sim.clock.monotonic()
 
     @stateful.rule(seconds=strategies.sampled_from([4.0, 15.0, 50.0]))
     def wait(self, seconds):
-        self.here.run(LIMIT_S)
+        self.sim.run(LIMIT_S)
         for _ in range(int(seconds)):
             self.check()
-            self.here.run(1.0)
+            self.sim.run(1.0)
 
     @stateful.rule()
-    def start_anew(self):
-        # An instance that couldn't see the start may go on by the old list.
+    def restart(self):
+        # An instance that couldn't see the restart may rely on the old list.
         self.wait(4.0)
         self.endpoint.up = False
-        self.here.run(10.0)
-        seeing = [m for m in self.here.members if not m.blind]
+        self.sim.run(10.0)
+        observers = [
+            m for m in self.sim.instances if not m.endpoints_unreachable
+        ]
         self.endpoint.restart()
         self.leaving_since = None
-        self.heal()
-        self.list_says_live_again()
-        self.started_at = self.here.clock.monotonic()
-        self.here.run(30.0)
-        assert all(m.states[E0] is cluster.LIVE for m in seeing)
-
-    def is_long_listed_live(self):
-        """Only the list said so, soon after a start, and long ago."""
+        self.end_faults()
+        self.list_as_live()
+        self.restarted_at = self.sim.clock.monotonic()
+        self.sim.run(30.0)
+        assert all(m.states[E0] is cluster.LIVE for m in observers)
+
+    def may_be_cleared_by_list(self):
+        """Returns whether instances may have cleared the list's report.
+
+        That is so if the list alone reported the endpoint as leaving soon after
+        a restart, and has shown it as live for as long as the list may lag.
+        """
         if not self.endpoint.ready or self.listed_live_since is None:
             return False
-        soon = self.leaving_since - self.started_at < health.LIST_LAG_S
-        live_s = self.here.clock.monotonic() - self.listed_live_since
+        soon = self.leaving_since - self.restarted_at < health.LIST_LAG_S
+        live_s = self.sim.clock.monotonic() - self.listed_live_since
         return soon and live_s >= health.LIST_LAG_S
 
     def check(self):
-        if self.leaving_since is None or self.is_long_listed_live():
+        if self.leaving_since is None or self.may_be_cleared_by_list():
             return
-        heard = [m for m in self.here.members if not m.deaf]
-        since = self.here.clock.monotonic() - self.leaving_since
+        reachable = [m for m in self.sim.instances if not m.peers_unreachable]
+        since = self.sim.clock.monotonic() - self.leaving_since
         if since >= LIMIT_S:
-            live = [m.name for m in heard if m.states[E0] is cluster.LIVE]
+            live = [m.name for m in reachable if m.states[E0] is cluster.LIVE]
             assert not live, live
 
 
--- a/pollenfork/endpoints/tests/test_orders.py
+++ b/pollenfork/endpoints/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""From the settings to orders, alone and over several instances."""
+"""Orders from the desired state, for one and for several instances."""
 
 import pytest
 
@@ -38,41 +38,41 @@
         ({"drain": "w2"}, {"drained": "w1"}, (), [(DRAIN, "w2")]),
     ],
 )
-def test_work_follows_from_the_wish(desired, applied, reported, work):
+def test_work_by_desired_state(desired, applied, reported, work):
     listed = orders.list_work(
         orders.Desired(**desired), rows.Applied(**applied), reported
     )
     assert list(listed) == work
 
 
-def test_done_load_replaces_the_version():
+def test_completed_load_replaces_the_version():
     before = rows.Applied(models=("m@1", "n@1"), adapters=("m@1",))
     after = orders.record_done(before, LOAD, "m@2")
     assert after == rows.Applied(models=("n@1", "m@2"), adapters=("m@1",))
 
 
 @pytest.mark.parametrize(
-    ("carriers", "limit"), [(1, 1), (4, 1), (7, 1), (8, 2), (100, 25)]
+    ("endpoints", "limit"), [(1, 1), (4, 1), (7, 1), (8, 2), (100, 25)]
 )
-def test_a_quarter_loads_at_once(carriers, limit):
-    assert orders.get_loading_limit(carriers) == limit
+def test_loading_limit(endpoints, limit):
+    assert orders.get_loading_limit(endpoints) == limit
 
 
-def test_new_version_comes_to_every_endpoint_a_quarter_at_a_time():
-    here = cluster.Fleet(members=3, endpoints=8, permits_per_s=0.2)
-    here.run(6.0)
-    here.set_models(("m@2",))
-    most = 0
+def test_new_version_is_loaded_by_a_quarter_of_endpoints_at_a_time():
+    sim = cluster.Cluster(instances=3, endpoints=8, permits_per_s=0.2)
+    sim.run(6.0)
+    sim.set_models(("m@2",))
+    most_loading = 0
 
     def is_done():
-        nonlocal most
-        row = here.members[0].platform.table.read("endpoints/dc1/loading/m")
+        nonlocal most_loading
+        row = sim.instances[0].platform.table.read("endpoints/dc1/loading/m")
         if row.ok_value:
             loading = rows.decode(row.ok_value.value, rows.LoadingRow).ok_value
-            most = max(most, len(loading.endpoints))
-        return all("m@2" in e.models for e in here.endpoints.values())
+            most_loading = max(most_loading, len(loading.endpoints))
+        return all("m@2" in e.models for e in sim.endpoints.values())
 
-    assert here.run(240.0, is_done) is not None
-    assert most == 2
-    for endpoint in here.endpoints.values():
+    assert sim.run(240.0, is_done) is not None
+    assert most_loading == 2
+    for endpoint in sim.endpoints.values():
         assert [order.argument for order in endpoint.orders] == ["m@2"]
--- a/pollenfork/endpoints/tests/test_rows.py
+++ b/pollenfork/endpoints/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""Golden bytes of every row: a later version still reads them."""
+"""Rows against golden files, which later versions must still read."""
 
 import pathlib
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("row", [LEASE, LOADING, DRAIN])
-def test_rows_are_written_and_read_as_in_the_golden_files(row):
+def test_rows_match_the_golden_files(row):
     name = type(row).__name__.lower()
     golden = (_GOLDEN / f"{name}.json").read_bytes().rstrip(b"\n")
     assert rows.encode(row) == golden
@@ -44,11 +44,11 @@
 @pytest.mark.parametrize(
     "value", [b"", b"{", b"[]", b'{"endpoints":3}', b'{"format":2}']
 )
-def test_rows_that_cannot_be_read_are_told_apart(value):
+def test_unreadable_rows_are_rejected(value):
     answer = rows.decode(value, rows.LoadingRow)
     assert isinstance(answer.err_value, rows.BadRow)
 
 
-def test_fields_of_a_later_version_do_no_harm():
+def test_unknown_fields_are_ignored():
     value = b'{"endpoints":["e1"],"format":1,"since":4}'
     assert rows.decode(value, rows.LoadingRow) == result.Ok(LOADING)
