--- a/pollenfork/cli/explaining.py
+++ b/pollenfork/cli/explaining.py
@@ -8,14 +8,14 @@
 from pollenfork import status
 from pollenfork.cli import definition
 from pollenfork.logbook import causes
-from pollenfork.logbook import course
 from pollenfork.logbook import duties
 from pollenfork.logbook import lines
 from pollenfork.logbook import losses
-from pollenfork.logbook import losses_page
-from pollenfork.logbook import news
-from pollenfork.logbook import news_page
-from pollenfork.logbook import page
+from pollenfork.logbook import losses_report
+from pollenfork.logbook import propagation
+from pollenfork.logbook import propagation_report
+from pollenfork.logbook import trace
+from pollenfork.logbook import trace_report
 
 _INPUT = pathlib.Path("-")
 
@@ -27,13 +27,13 @@
     log = _read_all(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
-    found = course.follow(command.request, log)
+    found = trace.collect(command.request, log)
     if command.format is definition.Format.JSON:
         told = {"course": found, "cause": causes.explain(found)}
         body = msgspec.json.format(msgspec.json.encode(told))
         env.stdout.write(body.decode() + "\n")
     else:
-        page.write(found, env.stdout)
+        trace_report.write(found, env.stdout)
     return status.ExitStatus.SUCCESS if found.lines else status.ExitStatus.ERROR
 
 
@@ -44,7 +44,7 @@
     log = _read_all(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
-    losses_page.write(losses.count(log), env.stdout)
+    losses_report.write(losses.count(log), env.stdout)
     return status.ExitStatus.SUCCESS
 
 
@@ -55,7 +55,7 @@
     log = _read_all(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
-    news_page.write(news.follow(log), env.stdout)
+    propagation_report.write(propagation.list_changes(log), env.stdout)
     return status.ExitStatus.SUCCESS
 
 
@@ -66,12 +66,12 @@
     log = _read_all(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
-    steps = duties.follow(log)
-    for step in steps:
-        mark = "!" if step.alarming else " "
-        after_s = step.at - steps[0].at
+    events = duties.list_events(log)
+    for event in events:
+        mark = "!" if event.is_problem else " "
+        after_s = event.at - events[0].at
         env.stdout.write(
-            f"{mark} {after_s:8.1f} s  {step.instance}  {step.what}\n"
+            f"{mark} {after_s:8.1f} s  {event.instance}  {event.text}\n"
         )
     return status.ExitStatus.SUCCESS
 
@@ -95,6 +95,6 @@
 
 def _read(path: pathlib.Path, env: context.Environment) -> list[lines.Line]:
     if path == _INPUT:
-        return list(lines.read(env.stdin, "-"))
+        return list(lines.parse(env.stdin, "-"))
     with path.open(errors="replace") as source:
-        return list(lines.read(source, path.stem))
+        return list(lines.parse(source, path.stem))
--- a/pollenfork/logbook/__init__.py
+++ b/pollenfork/logbook/__init__.py
@@ -1,1 +1,1 @@
-"""Logs of several instances, read to explain what became of a request."""
+"""Analysis of the instances' logs: what happened to requests, and why."""
--- a/pollenfork/logbook/causes.py
+++ b/pollenfork/logbook/causes.py
@@ -1,8 +1,8 @@
-"""Says in a sentence why a request ended as it did."""
+"""Explains in a sentence why a request ended as it did."""
 
 from pollenfork.gateway import replies
-from pollenfork.logbook import course as courses
 from pollenfork.logbook import lines
+from pollenfork.logbook import trace as traces
 
 _Reason = replies.Reason
 
@@ -37,7 +37,7 @@
     ),
     _Reason.FAULT: "a fault of the router's own; see request_failed",
 }
-_SEQUELS = {
+_RETRY_DECISIONS = {
     "not_idempotent": "it may have run, and must not run twice",
     "attempts_spent": "its route allows no further runner",
     "search_ended": "several runners in a row couldn't be reached",
@@ -46,52 +46,54 @@
 }
 
 
-def explain(course: courses.Course) -> str:
-    """Returns the cause, as far as the logs tell it."""
-    if not course.lines:
-        return _explain_silence(course)
-    last = course.lines[-1]
+def explain(trace: traces.Trace) -> str:
+    """Returns the cause, as far as it can be inferred from the logs."""
+    if not trace.lines:
+        return _explain_no_lines(trace)
+    last = trace.lines[-1]
     match last.event:
         case "refused":
-            return f"refused: {_name_reason(last)}"
+            return f"refused: {_describe_reason(last)}"
         case "given_up":
-            return _explain_failure(course, last)
+            return _explain_failure(trace, last)
         case "caller_gone":
-            return _explain_leaving(last)
+            return _explain_disconnect(last)
         case "answered":
-            return _explain_answer(course, last)
-    return _explain_end(course)
+            return _explain_answer(trace, last)
+    return _explain_unfinished(trace)
 
 
-def _explain_silence(course: courses.Course) -> str:
-    if course.missing:
+def _explain_no_lines(trace: traces.Trace) -> str:
+    if trace.missing:
         return (
             "no line names it; the instances left out"
-            f" {course.missing} lines, it may be among them"
+            f" {trace.missing} lines, it may be among them"
         )
     return "no line names it: it reached none of these instances whole"
 
 
-def _explain_failure(course: courses.Course, last: lines.Line) -> str:
-    told = f"failed: {_name_reason(last)}"
-    failed = [line for line in course.lines if line.event == "attempt_failed"]
+def _explain_failure(trace: traces.Trace, last: lines.Line) -> str:
+    text = f"failed: {_describe_reason(last)}"
+    failed = [line for line in trace.lines if line.event == "attempt_failed"]
     if failed:
         fields = failed[-1].fields
-        why = _SEQUELS.get(fields.get("sequel", ""), fields.get("sequel", ""))
-        told += (
+        why = _RETRY_DECISIONS.get(
+            fields.get("sequel", ""), fields.get("sequel", "")
+        )
+        text += (
             f"; the attempt at {fields['runner']} ended {fields['end']}"
             f" ({fields['breach']}), and no other followed: {why}"
         )
-    return told + _describe_runners(course)
+    return text + _describe_runner_failures(trace)
 
 
-def _explain_leaving(last: lines.Line) -> str:
-    begun = last.fields.get("begun") == "True"
-    what = "its answer had begun" if begun else "before its answer began"
-    return f"the caller left after {last.fields['took_ms']} ms, {what}"
+def _explain_disconnect(last: lines.Line) -> str:
+    answering = last.fields.get("begun") == "True"
+    phase = "its answer had begun" if answering else "before its answer began"
+    return f"the caller left after {last.fields['took_ms']} ms, {phase}"
 
 
-def _explain_answer(course: courses.Course, last: lines.Line) -> str:
+def _explain_answer(trace: traces.Trace, last: lines.Line) -> str:
     fields = last.fields
     if int(fields["status"]) >= 500:
         return f"answered with its runner's own error {fields['status']}"
@@ -101,26 +103,26 @@
     if target_ms and first_ms > target_ms:
         return (
             f"late: the first event after {first_ms} ms of {target_ms};"
-            f" {_explain_wait(course, first_ms)}"
+            f" {_explain_delay(trace, first_ms)}"
         )
     if gap_target_ms and gap_ms > gap_target_ms:
         return (
             f"late: a pause of {gap_ms} ms of {gap_target_ms} between events;"
             " its runner read other prompts, or a connection was slow"
-            + _describe_runners(course)
+            + _describe_runner_failures(trace)
         )
     return "answered within its targets"
 
 
-def _explain_wait(course: courses.Course, first_ms: int) -> str:
-    """Names the largest part of the time to the first event."""
-    chosen = [line for line in course.lines if line.event == "chosen"]
+def _explain_delay(trace: traces.Trace, first_ms: int) -> str:
+    """Describes what took most of the time to the first event."""
+    chosen = [line for line in trace.lines if line.event == "chosen"]
     if not chosen:
         return "the line of its choice is missing"
     if len(chosen) > 1:
         return (
             f"earlier attempts took {chosen[-1].fields['waited_ms']}"
-            " ms" + _describe_runners(course)
+            " ms" + _describe_runner_failures(trace)
         )
     fields = chosen[-1].fields
     waited_ms, cost_ms = int(fields["waited_ms"]), int(fields["cost_ms"])
@@ -131,50 +133,54 @@
             " or stood still"
         )
     if cost_ms == largest:
-        unread = int(fields["unread"])
-        anew = f", {unread} tokens of shared parts anew" if unread else ""
-        return f"{cost_ms} ms were expected of the best runner{anew}"
+        uncached_tokens = int(fields["unread"])
+        uncached = (
+            f", {uncached_tokens} tokens of shared parts anew"
+            if uncached_tokens
+            else ""
+        )
+        return f"{cost_ms} ms were expected of the best runner{uncached}"
     return (
         f"its runner took longer than the {cost_ms} ms expected: it was slower,"
         f" or others' prompts weren't known (loads {fields['loads_age_ms']} ms"
-        " old)" + _describe_runners(course)
+        " old)" + _describe_runner_failures(trace)
     )
 
 
-def _explain_end(course: courses.Course) -> str:
-    """Explains a course whose last line is no end."""
-    if course.starts:
+def _explain_unfinished(trace: traces.Trace) -> str:
+    """Explains a trace whose last line doesn't end the request."""
+    if trace.starts:
         return "its instance's process ended: it started anew after"
-    if course.missing:
-        return f"its end is missing; {course.missing} lines were left out"
+    if trace.missing:
+        return f"its end is missing; {trace.missing} lines were left out"
     return "still under way at the end of these logs, or its instance is lost"
 
 
-def _describe_runners(course: courses.Course) -> str:
-    told = ""
-    if course.others:
-        told += (
-            f"; {len(course.others)} lines tell of failures of other requests"
+def _describe_runner_failures(trace: traces.Trace) -> str:
+    text = ""
+    if trace.others:
+        text += (
+            f"; {len(trace.others)} lines tell of failures of other requests"
             " at its runners around then"
         )
-    last = course.lines[-1].at
+    last = trace.lines[-1].at
     gone = [
         line
-        for line in course.runners
-        if line.event == "runner_gone" and line.at > course.lines[0].at
+        for line in trace.runners
+        if line.event == "runner_gone" and line.at > trace.lines[0].at
     ]
     if gone:
-        told += (
+        text += (
             f"; {gone[0].fields['runner']} was gone from the registry"
             f" {abs(gone[0].at - last):.1f} s"
             f" {'after' if gone[0].at > last else 'before'} its last line"
         )
-    return told
+    return text
 
 
-def _name_reason(line: lines.Line) -> str:
+def _describe_reason(line: lines.Line) -> str:
     reason = line.fields.get("reason", "")
     try:
         return _REFUSALS[_Reason(reason)]
     except ValueError:
-        return reason  # Of another front, whose reasons are its own.
+        return reason  # Logged by another front end with its own reasons.
--- a/pollenfork/logbook/duties.py
+++ b/pollenfork/logbook/duties.py
@@ -1,4 +1,4 @@
-"""What one instance at a time did for all, by the logs of all of them."""
+"""Actions of the duty holder (one instance at a time), from the logs of all."""
 
 from collections.abc import Iterable
 
@@ -7,66 +7,68 @@
 from pollenfork.logbook import lines
 
 
-class Step(msgspec.Struct, frozen=True):
-    """Something that was done, in a sentence.
+class DutyEvent(msgspec.Struct, frozen=True):
+    """One action of the duty holder.
 
     Attributes:
         at: Seconds since the epoch.
-        instance: Who did it.
-        what: What, and why.
-        alarming: Whether it should not have come to that.
+        instance: The instance that acted.
+        text: What it did and why.
+        is_problem: Whether it shows a fault: lateness, lost data, a refusal.
     """
 
     at: float
     instance: str
-    what: str
-    alarming: bool = False
+    text: str
+    is_problem: bool = False
 
 
-def follow(log: Iterable[lines.Line]) -> list[Step]:
-    """Returns all steps in the order in which they were done."""
-    told = sorted(log, key=lambda line: line.at)
-    return [step for line in told if (step := _read(line)) is not None]
+def list_events(log: Iterable[lines.Line]) -> list[DutyEvent]:
+    """Returns all actions, earliest first."""
+    ordered = sorted(log, key=lambda line: line.at)
+    return [event for line in ordered if (event := _describe(line)) is not None]
 
 
-def _read(line: lines.Line) -> Step | None:
-    writer = _WRITERS.get(line.event)
-    if writer is None:
+def _describe(line: lines.Line) -> DutyEvent | None:
+    describer = _DESCRIBERS.get(line.event)
+    if describer is None:
         return None
-    what, alarming = writer(line.fields)
-    return Step(line.at, line.instance, what, alarming)
+    text, is_problem = describer(line.fields)
+    return DutyEvent(line.at, line.instance, text, is_problem)
 
 
-def _write_taken(fields: dict[str, str]) -> tuple[str, bool]:
-    before = fields["after"]
-    after = "nobody held before" if before == "-" else f"after {before}"
-    return f"acts for all by number {fields['fencing']}, {after}", False
+def _describe_lease(fields: dict[str, str]) -> tuple[str, bool]:
+    previous = fields["after"]
+    succession = (
+        "nobody held before" if previous == "-" else f"after {previous}"
+    )
+    return f"acts for all by number {fields['fencing']}, {succession}", False
 
 
-def _write_failed(fields: dict[str, str]) -> tuple[str, bool]:
+def _describe_failed_write(fields: dict[str, str]) -> tuple[str, bool]:
     return f"couldn't write the holder's row: {fields['trouble']}", False
 
 
-def _write_summed(fields: dict[str, str]) -> tuple[str, bool]:
+def _describe_window(fields: dict[str, str]) -> tuple[str, bool]:
     missing = fields["missing"]
-    what = f"window {fields['window']}: {fields['requests']} requests"
+    text = f"window {fields['window']}: {fields['requests']} requests"
     if missing == "-":
-        return what, False
-    return f"{what}, without the last of {missing}", True
+        return text, False
+    return f"{text}, without the last of {missing}", True
 
 
-def _write_reported(fields: dict[str, str]) -> tuple[str, bool]:
+def _describe_report(fields: dict[str, str]) -> tuple[str, bool]:
     late = fields["due"] != "True"
-    what = (
+    text = (
         f"window {fields['window']} told after {fields['late_ms']} ms:"
         f" {fields['reply']}"
     )
-    return (f"{what}, too late" if late else what), late
+    return (f"{text}, too late" if late else text), late
 
 
-def _write_wanted(fields: dict[str, str]) -> tuple[str, bool]:
+def _describe_target(fields: dict[str, str]) -> tuple[str, bool]:
     return (
-        f"wants {fields['count']} {_name_kind(fields)} (before"
+        f"wants {fields['count']} {_name_runners(fields)} (before"
         f" {fields['before']}): {fields['ready']} work, usually"
         f" {fields['usual']}; they have {fields['backlog_ms']} ms to read and"
         f" {fields['taken']} of their places are taken",
@@ -74,21 +76,23 @@
     )
 
 
-def _write_ordered(fields: dict[str, str]) -> tuple[str, bool]:
-    what = f"ordered {fields['count']} {_name_kind(fields)}: {fields['reply']}"
-    return what, fields["reply"] == "rejected"
+def _describe_order(fields: dict[str, str]) -> tuple[str, bool]:
+    text = (
+        f"ordered {fields['count']} {_name_runners(fields)}: {fields['reply']}"
+    )
+    return text, fields["reply"] == "rejected"
 
 
-def _name_kind(fields: dict[str, str]) -> str:
+def _name_runners(fields: dict[str, str]) -> str:
     kind = "reclaimable" if fields["reclaimable"] == "True" else "firm"
     return f"{kind} runners of {fields['service']} in {fields['data_centre']}"
 
 
-_WRITERS = {
-    "duties_taken": _write_taken,
-    "duty_write_failed": _write_failed,
-    "window_summed": _write_summed,
-    "window_reported": _write_reported,
-    "runners_wanted": _write_wanted,
-    "runners_ordered": _write_ordered,
+_DESCRIBERS = {
+    "duties_taken": _describe_lease,
+    "duty_write_failed": _describe_failed_write,
+    "window_summed": _describe_window,
+    "window_reported": _describe_report,
+    "runners_wanted": _describe_target,
+    "runners_ordered": _describe_order,
 }
--- a/pollenfork/logbook/lines.py
+++ b/pollenfork/logbook/lines.py
@@ -1,4 +1,4 @@
-"""Lines of the log, decoded."""
+"""Parser of log lines."""
 
 from collections.abc import Iterable, Iterator
 import datetime
@@ -7,24 +7,24 @@
 
 import msgspec
 
-# A collector may have put something before a line of ours.
+# A log collector may prepend text of its own to a line.
 _LINE = re.compile(
     r"(?:\binstance=(?P<instance>\S+) )?"
     r"\btime=(?P<time>\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3}) "
     r"level=\S+ logger=\S+ (?P<pairs>event=.*)"
 )
 _PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-_TIME_FORM = "%Y-%m-%d %H:%M:%S,%f"
+_TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One event.
+    """One logged event.
 
     Attributes:
-        at: Seconds since the epoch, by its instance's clock.
-        instance: Who wrote it.
+        at: Seconds since the epoch, by the clock of the instance.
+        instance: The instance that wrote the line.
         event: The event's name.
-        fields: Its other pairs, in order.
+        fields: The other key-value pairs, in order.
     """
 
     at: float
@@ -33,25 +33,25 @@
     fields: dict[str, str]
 
 
-def read(source: Iterable[str], name: str) -> Iterator[Line]:
-    """Decodes the lines of one file; leaves out what is no event.
+def parse(source: Iterable[str], name: str) -> Iterator[Line]:
+    """Parses the lines of one file and skips those that hold no event.
 
     Args:
         source: The file's lines.
-        name: Stands for the instance where a line names none.
+        name: Instance name for lines that name no instance.
     """
     for text in source:
-        found = _LINE.search(text)
-        if found is None:
+        match = _LINE.search(text)
+        if match is None:
             continue
-        pairs = dict(_read_pairs(found["pairs"]))
+        pairs = dict(_parse_pairs(match["pairs"]))
         event = pairs.pop("event")
-        instance = found["instance"] or name
-        yield Line(_read_time(found["time"]), instance, event, pairs)
+        instance = match["instance"] or name
+        yield Line(_parse_time(match["time"]), instance, event, pairs)
 
 
 def count_missing(log: Iterable[Line]) -> int:
-    """Returns how many lines instances say that they left out."""
+    """Returns how many lines the instances report as dropped."""
     return sum(
         int(line.fields["count"])
         for line in log
@@ -59,12 +59,12 @@
     )
 
 
-def _read_pairs(text: str) -> Iterator[tuple[str, str]]:
+def _parse_pairs(text: str) -> Iterator[tuple[str, str]]:
     for key, value in _PAIR.findall(text):
         yield key, json.loads(value) if value.startswith('"') else value
 
 
-def _read_time(text: str) -> float:
-    # The log's times bear no zone; only their differences matter.
-    moment = datetime.datetime.strptime(text, _TIME_FORM)
+def _parse_time(text: str) -> float:
+    # Log times have no time zone; only their differences are used.
+    moment = datetime.datetime.strptime(text, _TIME_FORMAT)
     return moment.replace(tzinfo=datetime.UTC).timestamp()
--- a/pollenfork/logbook/losses.py
+++ b/pollenfork/logbook/losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost or late, by route, moment and cause."""
+"""Counts of lost and late requests, by route, time interval and cause."""
 
 import collections
 from collections.abc import Iterable, Iterator
@@ -8,9 +8,9 @@
 
 from pollenfork.logbook import lines
 
-# Length of a moment, in seconds: a burst or a crash shows, and a route of 15
-# requests a second has enough of them in it.
-MOMENT_S = 2.0
+# Length of an interval, in seconds: short enough that a burst or a crash shows,
+# long enough that a route with 15 requests a second has a useful sample.
+INTERVAL_S = 2.0
 _SERVER_ERROR = 500
 
 
@@ -27,14 +27,14 @@
 Outcomes = collections.Counter[Outcome]
 
 
-class Ending(msgspec.Struct, frozen=True):
-    """The end of one request.
+class RequestEnd(msgspec.Struct, frozen=True):
+    """How one request ended.
 
     Attributes:
-        route: Its route's name; empty where it was refused without one.
+        route: Its route's name; empty if it was refused before routing.
         at: Seconds since the epoch at its first line.
         outcome: How it ended.
-        cause: What decided that, in a few words.
+        cause: Short text of what led to the outcome.
     """
 
     route: str
@@ -44,66 +44,68 @@
 
 
 class Losses(msgspec.Struct, frozen=True):
-    """All requests in some logs, counted.
+    """Outcome counts over all requests in the logs.
 
     Attributes:
         routes: Outcomes by route.
-        causes: Requests that weren't answered in time, by route and cause.
-        moments: Outcomes by seconds since the first request.
-        missing: Lines that instances left out, those of requests that went
-            well first.
+        causes: Requests that weren't answered in time, by route, outcome and
+            cause.
+        intervals: Outcomes by the interval's start, in seconds since the
+            first request.
+        missing: Lines that the instances dropped; lines of successful
+            requests are dropped first.
     """
 
     routes: dict[str, Outcomes]
     causes: collections.Counter[tuple[str, Outcome, str]]
-    moments: dict[float, Outcomes]
+    intervals: dict[float, Outcomes]
     missing: int
 
 
 def count(log: Iterable[lines.Line]) -> Losses:
-    """Counts how the requests of some logs ended.
+    """Counts the outcomes of all requests.
 
     Args:
         log: All lines of all instances, in any order.
     """
-    told = list(log)
-    endings = list(_list_endings(told))
-    start = min((each.at for each in endings), default=0.0)
+    log_lines = list(log)
+    ends = list(_list_request_ends(log_lines))
+    start = min((end.at for end in ends), default=0.0)
     routes: dict[str, Outcomes] = collections.defaultdict(Outcomes)
-    moments: dict[float, Outcomes] = collections.defaultdict(Outcomes)
+    intervals: dict[float, Outcomes] = collections.defaultdict(Outcomes)
     causes: collections.Counter[tuple[str, Outcome, str]]
     causes = collections.Counter()
-    for each in endings:
-        moment = (each.at - start) // MOMENT_S * MOMENT_S
-        routes[each.route][each.outcome] += 1
-        moments[moment][each.outcome] += 1
-        if each.outcome is not Outcome.IN_TIME:
-            causes[each.route, each.outcome, each.cause] += 1
-    missing = lines.count_missing(told)
-    return Losses(dict(routes), causes, dict(moments), missing)
-
-
-def _list_endings(log: Iterable[lines.Line]) -> Iterator[Ending]:
-    courses: dict[str, list[lines.Line]] = {}
+    for end in ends:
+        interval = (end.at - start) // INTERVAL_S * INTERVAL_S
+        routes[end.route][end.outcome] += 1
+        intervals[interval][end.outcome] += 1
+        if end.outcome is not Outcome.IN_TIME:
+            causes[end.route, end.outcome, end.cause] += 1
+    missing = lines.count_missing(log_lines)
+    return Losses(dict(routes), causes, dict(intervals), missing)
+
+
+def _list_request_ends(log: Iterable[lines.Line]) -> Iterator[RequestEnd]:
+    traces: dict[str, list[lines.Line]] = {}
     for line in sorted(log, key=lambda line: line.at):
         request = line.fields.get("request")
         if request:
-            courses.setdefault(request, []).append(line)
-    for course in courses.values():
-        outcome, cause = _judge(course)
-        yield Ending(_find_route(course), course[0].at, outcome, cause)
+            traces.setdefault(request, []).append(line)
+    for trace in traces.values():
+        outcome, cause = _classify(trace)
+        yield RequestEnd(_find_route(trace), trace[0].at, outcome, cause)
 
 
-def _find_route(course: list[lines.Line]) -> str:
-    named = (line.fields.get("route") for line in course)
+def _find_route(trace: list[lines.Line]) -> str:
+    named = (line.fields.get("route") for line in trace)
     return next(filter(None, named), "")
 
 
-def _judge(course: list[lines.Line]) -> tuple[Outcome, str]:
-    last = course[-1]
+def _classify(trace: list[lines.Line]) -> tuple[Outcome, str]:
+    last = trace[-1]
     match last.event:
         case "answered":
-            return _judge_answer(course, last)
+            return _classify_answer(trace, last)
         case "refused":
             return Outcome.REFUSED, last.fields["reason"]
         case "given_up":
@@ -116,8 +118,8 @@
     return Outcome.FAILED, "its instance ended"
 
 
-def _judge_answer(
-    course: list[lines.Line], last: lines.Line
+def _classify_answer(
+    trace: list[lines.Line], last: lines.Line
 ) -> tuple[Outcome, str]:
     fields = last.fields
     if int(fields["status"]) >= _SERVER_ERROR:
@@ -125,15 +127,15 @@
     target_ms = int(fields["target_ms"])
     gap_target_ms = int(fields["gap_target_ms"])
     if target_ms and int(fields["first_ms"]) > target_ms:
-        return Outcome.LATE, _find_delay(course, int(fields["first_ms"]))
+        return Outcome.LATE, _find_largest_delay(trace, int(fields["first_ms"]))
     if gap_target_ms and int(fields["gap_ms"]) > gap_target_ms:
         return Outcome.LATE, "a pause in it"
     return Outcome.IN_TIME, ""
 
 
-def _find_delay(course: list[lines.Line], first_ms: int) -> str:
-    """Returns the largest part of the time to the first event."""
-    chosen = [line for line in course if line.event == "chosen"]
+def _find_largest_delay(trace: list[lines.Line], first_ms: int) -> str:
+    """Returns what took most of the time to the first event."""
+    chosen = [line for line in trace if line.event == "chosen"]
     if not chosen:
         return "unknown"
     if len(chosen) > 1:
--- a/pollenfork/logbook/tests/test_causes.py
+++ b/pollenfork/logbook/tests/test_causes.py
@@ -1,4 +1,4 @@
-"""Each way in which a request ends has its cause told from the logs."""
+"""The explanation of every outcome of a request, derived from log lines."""
 
 import io
 
@@ -7,9 +7,9 @@
 from pollenfork.gateway import replies
 from pollenfork.gateway import retries
 from pollenfork.logbook import causes
-from pollenfork.logbook import course
 from pollenfork.logbook import lines
-from pollenfork.logbook import page
+from pollenfork.logbook import trace
+from pollenfork.logbook import trace_report
 
 CHOSEN = (
     "chosen request=q runner=r waited_ms=5 cost_ms=20 unread=0 loads_age_ms=7"
@@ -33,24 +33,24 @@
     )
 
 
-def follow(*texts: str) -> course.Course:
-    """Returns the course of request q through lines a second apart."""
+def collect(*texts: str) -> trace.Trace:
+    """Returns the trace of request q from lines one second apart."""
     log = [
         text if text.startswith("instance=") else write(60.0 + second, text)
         for second, text in enumerate(texts)
     ]
-    return course.follow("q", lines.read(log, "file"))
+    return trace.collect("q", lines.parse(log, "file"))
 
 
 def explain(*texts: str) -> str:
-    return causes.explain(follow(*texts))
+    return causes.explain(collect(*texts))
 
 
 @pytest.mark.parametrize("reason", replies.Reason)
-def test_each_reason_of_a_refusal_is_told(reason) -> None:
-    told = explain(f"refused request=q reason={reason.value}")
-    assert told.startswith("refused: ")
-    assert told != f"refused: {reason.value}"
+def test_every_refusal_reason_is_explained(reason) -> None:
+    text = explain(f"refused request=q reason={reason.value}")
+    assert text.startswith("refused: ")
+    assert text != f"refused: {reason.value}"
 
 
 @pytest.mark.parametrize(
@@ -61,23 +61,23 @@
         if sequel.value not in ("answered", "repeated")
     ],
 )
-def test_each_reason_why_no_attempt_followed_is_told(sequel) -> None:
+def test_every_retry_decision_is_explained(sequel) -> None:
     failed = FAILED.replace("not_idempotent", sequel.value)
-    told = explain(CHOSEN, failed, GIVEN_UP)
-    assert "the attempt at r ended broken (reset)" in told
-    assert sequel.value not in told
+    text = explain(CHOSEN, failed, GIVEN_UP)
+    assert "the attempt at r ended broken (reset)" in text
+    assert sequel.value not in text
 
 
-def test_a_crash_is_told_by_others_failures_and_the_registry() -> None:
-    told = explain(
+def test_crash_is_explained_by_other_failures_and_the_registry() -> None:
+    text = explain(
         CHOSEN,
         FAILED.replace("request=q", "request=other"),
         FAILED,
         GIVEN_UP,
         "runner_gone runner=r",
     )
-    assert "1 lines tell of failures of other requests" in told
-    assert "r was gone from the registry 1.0 s after its last line" in told
+    assert "1 lines tell of failures of other requests" in text
+    assert "r was gone from the registry 1.0 s after its last line" in text
 
 
 @pytest.mark.parametrize(
@@ -89,57 +89,55 @@
         ({}, "longer than the 20 ms expected"),
     ],
 )
-def test_a_late_answer_is_told_by_the_largest_part_of_its_time(
-    chosen, cause
-) -> None:
+def test_late_answer_is_explained_by_its_largest_delay(chosen, cause) -> None:
     fields = {"waited_ms": 5, "cost_ms": 20, "unread": 0} | chosen
     pairs = " ".join(f"{key}={value}" for key, value in fields.items())
     text = f"chosen request=q runner=r {pairs} loads_age_ms=7"
-    told = explain(text, ANSWERED)
-    assert told.startswith("late: the first event after 300 ms of 200")
-    assert cause in told
+    text = explain(text, ANSWERED)
+    assert text.startswith("late: the first event after 300 ms of 200")
+    assert cause in text
 
 
-def test_a_late_answer_after_other_attempts_is_told_by_them() -> None:
+def test_late_answer_is_explained_by_earlier_attempts() -> None:
     second = CHOSEN.replace("waited_ms=5", "waited_ms=260")
     assert "earlier attempts took 260 ms" in explain(
         CHOSEN, FAILED, second, ANSWERED
     )
 
 
-def test_a_pause_between_events_is_told() -> None:
+def test_pause_between_events_is_explained() -> None:
     paused = ANSWERED.replace("first_ms=300", "first_ms=30").replace(
         "gap_ms=0 gap_target_ms=0", "gap_ms=900 gap_target_ms=250"
     )
     assert "a pause of 900 ms of 250" in explain(CHOSEN, paused)
 
 
-def test_an_answer_in_time_and_a_runners_own_error_are_told() -> None:
+def test_timely_answer_and_runner_error_are_explained() -> None:
     in_time = ANSWERED.replace("first_ms=300", "first_ms=30")
     assert explain(CHOSEN, in_time) == "answered within its targets"
     error = ANSWERED.replace("status=200", "status=500")
     assert "own error 500" in explain(CHOSEN, error)
 
 
-def test_a_caller_that_left_is_told() -> None:
-    told = explain(CHOSEN, "caller_gone request=q begun=True took_ms=70")
-    assert told == "the caller left after 70 ms, its answer had begun"
+def test_client_disconnect_is_explained() -> None:
+    text = explain(CHOSEN, "caller_gone request=q begun=True took_ms=70")
+    assert text == "the caller left after 70 ms, its answer had begun"
 
 
-def test_a_course_without_end_is_told_by_what_followed() -> None:
+def test_unfinished_trace_is_explained_by_later_lines() -> None:
     assert "still under way" in explain(CHOSEN)
     assert "process ended" in explain(CHOSEN, "started instance=i-1")
     assert "4 lines were left out" in explain(CHOSEN, "lines_missing count=4")
 
 
-def test_a_request_that_no_line_names_is_told_with_what_is_missing() -> None:
+def test_unknown_request_is_explained_with_the_missing_lines() -> None:
     other = CHOSEN.replace("request=q", "request=other")
     assert "reached none of these" in explain(other)
     assert "left out 9 lines" in explain(other, "lines_missing count=9")
 
 
-def test_beliefs_are_the_latest_before_and_of_the_same_process() -> None:
-    found = follow(
+def test_instance_state_is_the_latest_of_the_same_process() -> None:
+    found = collect(
         "configuration_in_force version=1",
         "started instance=i-1",
         "configuration_in_force version=2",
@@ -154,23 +152,23 @@
     ]
 
 
-def test_other_instances_lines_are_taken_by_their_time() -> None:
-    found = follow(
+def test_lines_of_other_instances_are_ordered_by_time() -> None:
+    found = collect(
         write(61.5, "runner_shunned runner=r request=z", "i-2"),
         write(60.0, CHOSEN),
         write(62.0, GIVEN_UP),
     )
     assert [line.instance for line in found.others] == ["i-2"]
     out = io.StringIO()
-    page.write(found, out)
+    trace_report.write(found, out)
     written = out.getvalue().splitlines()
     assert written[0] == "request q"
     assert "      +1500 ms  i-2  runner_shunned  runner=r request=z" in written
     assert written[-1].startswith("cause: failed: its runner failed")
 
 
-def test_what_others_found_of_its_runner_is_shown() -> None:
-    found = follow(
+def test_events_of_other_instances_about_the_runner_are_included() -> None:
+    found = collect(
         write(60.0, CHOSEN),
         write(60.5, "runner_found runner=r sign=refused age_ms=60", "i-2"),
         write(60.6, "runner_found runner=other sign=refused age_ms=60", "i-2"),
@@ -179,8 +177,8 @@
     assert [line.fields["runner"] for line in found.runners] == ["r"]
 
 
-def test_a_request_kept_back_is_told_with_the_ends_that_prove_it() -> None:
-    told = follow(
+def test_quarantined_request_is_explained_with_its_crashes() -> None:
+    trace = collect(
         "runner_ended digest=0a place=1 proof=nobody_there ran_ms=40",
         "runner_ended digest=0b place=1 proof=nobody_there ran_ms=900",
         write(63.0, "runner_ended digest=0a place=2 proof=told", "i-2"),
@@ -188,8 +186,8 @@
         "given_up request=q digest=0a reason=ends_runners may_have_run=False",
     )
     out = io.StringIO()
-    page.write(told, out)
-    assert [line.instance for line in told.ends] == ["i-1", "i-2", "i-2"]
+    trace_report.write(trace, out)
+    assert [line.instance for line in trace.ends] == ["i-1", "i-2", "i-2"]
     assert "ends of runners under it" in out.getvalue()
     assert "places=1,2,3" in out.getvalue()
     assert "each runner that ran the same request has ended" in out.getvalue()
--- a/pollenfork/logbook/tests/test_duties.py
+++ b/pollenfork/logbook/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""What was done for all is told from the logs, with why."""
+"""Descriptions of the duty holder's actions, taken from its log lines."""
 
 from pollenfork.logbook import duties
 from pollenfork.logbook import lines
@@ -39,9 +39,9 @@
 ]
 
 
-def test_steps_come_in_order_with_who_did_them_and_why() -> None:
-    steps = duties.follow(lines.read(LOG, "-"))
-    assert [(step.instance, step.what) for step in steps] == [
+def test_events_are_ordered_with_instance_and_reason() -> None:
+    events = duties.list_events(lines.parse(LOG, "-"))
+    assert [(event.instance, event.text) for event in events] == [
         ("a", "acts for all by number 1, nobody held before"),
         ("a", "window 5: 40 requests"),
         (
@@ -56,6 +56,8 @@
     ]
 
 
-def test_what_came_too_late_is_marked() -> None:
-    steps = duties.follow(lines.read(LOG, "-"))
-    assert [step.what for step in steps if step.alarming] == [steps[-1].what]
+def test_late_report_is_marked_as_a_problem() -> None:
+    events = duties.list_events(lines.parse(LOG, "-"))
+    assert [event.text for event in events if event.is_problem] == [
+        events[-1].text
+    ]
--- a/pollenfork/logbook/tests/test_lines.py
+++ b/pollenfork/logbook/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Whatever a collector adds, the line of an instance is found in it."""
+"""Parsing of log lines, with and without a log collector's additions."""
 
 from pollenfork import logs
 from pollenfork.logbook import lines
@@ -9,42 +9,42 @@
 )
 
 
-def read(*texts: str) -> list[lines.Line]:
-    return list(lines.read(texts, "file"))
+def parse(*texts: str) -> list[lines.Line]:
+    return list(lines.parse(texts, "file"))
 
 
-def test_a_line_has_its_instance_event_and_pairs() -> None:
-    line = read(f"instance=i-1 {TEXT}")[0]
+def test_line_is_parsed_into_instance_event_and_fields() -> None:
+    line = parse(f"instance=i-1 {TEXT}")[0]
     assert (line.instance, line.event) == ("i-1", "refused")
     assert line.fields == {"request": "q", "path": "/a b", "age_ms": "-"}
 
 
-def test_a_line_without_an_instance_has_its_files_name() -> None:
-    assert read(TEXT)[0].instance == "file"
+def test_line_without_instance_gets_the_file_name() -> None:
+    assert parse(TEXT)[0].instance == "file"
 
 
-def test_what_a_collector_puts_before_a_line_is_left_out() -> None:
-    line = read(f"   4.8881 front-2 instance=i-1 {TEXT}")[0]
+def test_prefix_added_by_a_collector_is_ignored() -> None:
+    line = parse(f"   4.8881 front-2 instance=i-1 {TEXT}")[0]
     assert (line.instance, line.event) == ("i-1", "refused")
 
 
-def test_text_that_is_no_event_is_left_out() -> None:
+def test_text_without_an_event_is_skipped() -> None:
     trace = "Traceback (most recent call last):"
-    assert read("", trace, "event=x request=q") == []
+    assert parse("", trace, "event=x request=q") == []
 
 
-def test_times_differ_as_they_were_written() -> None:
-    first, second = read(TEXT, TEXT.replace("44,887", "45,000"))
+def test_time_differences_are_preserved() -> None:
+    first, second = parse(TEXT, TEXT.replace("44,887", "45,000"))
     assert round(second.at - first.at, 6) == 0.113
 
 
-def test_a_value_from_outside_cannot_pass_for_other_pairs() -> None:
+def test_external_value_cannot_inject_fields() -> None:
     forged = logs.write_value('x" event=answered request=other')
     assert logs.write_value("9c41d07be2a35f68") == "9c41d07be2a35f68"
-    line = read(TEXT.replace("request=q", f"request={forged}"))[0]
+    line = parse(TEXT.replace("request=q", f"request={forged}"))[0]
     assert line.event == "refused"
     assert line.fields["request"] == 'x" event=answered request=other'
 
 
-def test_a_value_from_outside_has_a_bounded_length() -> None:
+def test_external_value_is_truncated() -> None:
     assert len(logs.write_value("x" * 100_000)) == 120
--- a/pollenfork/logbook/tests/test_losses.py
+++ b/pollenfork/logbook/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Each way in which a request ends is counted under its cause."""
+"""Every outcome of a request is counted under its cause."""
 
 import io
 
@@ -6,7 +6,7 @@
 
 from pollenfork.logbook import lines
 from pollenfork.logbook import losses
-from pollenfork.logbook import losses_page
+from pollenfork.logbook import losses_report
 from pollenfork.logbook.tests import test_causes
 
 Outcome = losses.Outcome
@@ -25,7 +25,7 @@
         test_causes.write(60.0 + second, text)
         for second, text in enumerate(texts)
     ]
-    return losses.count(lines.read(log, "file"))
+    return losses.count(lines.parse(log, "file"))
 
 
 @pytest.mark.parametrize(
@@ -76,23 +76,23 @@
         ([CHOSEN.format(9, 9)], Outcome.FAILED, "its instance ended"),
     ],
 )
-def test_an_end_is_counted_under_its_cause(texts, outcome, cause) -> None:
+def test_outcome_is_counted_under_its_cause(texts, outcome, cause) -> None:
     found = count(*texts)
     assert found.routes == {"r": {outcome: 1}}
     assert found.causes == {("r", outcome, cause): 1}
 
 
-def test_a_request_refused_without_a_route_is_counted_too() -> None:
+def test_request_refused_before_routing_is_counted() -> None:
     found = count("refused request=q reason=no_route")
     assert found.causes == {("", Outcome.REFUSED, "no_route"): 1}
 
 
-def test_the_page_shows_shares_causes_and_moments() -> None:
+def test_report_shows_shares_causes_and_intervals() -> None:
     in_time = ANSWERED.format(200, 9, 0)
     late = in_time.replace("request=q", "request=p").replace("=9", "=900")
     found = count(in_time, "store_lost table=t", "reload taken=-", late)
     out = io.StringIO()
-    losses_page.write(found, out)
+    losses_report.write(found, out)
     written = out.getvalue()
     assert "r                       1        1        0" in written
     assert "1  r  late: unknown" in written
@@ -100,9 +100,9 @@
     assert "2  " + " " * 40 + "  0.000 of 1" in written
 
 
-def test_the_page_says_when_lines_are_missing() -> None:
+def test_report_warns_about_missing_lines() -> None:
     answered = ANSWERED.format(200, 9, 0)
-    for texts, told in (([answered], False), ([answered, MISSING], True)):
+    for texts, warned in (([answered], False), ([answered, MISSING], True)):
         out = io.StringIO()
-        losses_page.write(count(*texts), out)
-        assert ("7 lines are missing" in out.getvalue()) is told
+        losses_report.write(count(*texts), out)
+        assert ("7 lines are missing" in out.getvalue()) is warned
--- a/tests/test_bounded_logs.py
+++ b/tests/test_bounded_logs.py
@@ -76,7 +76,7 @@
         for _ in range(int(logs.BoundedHandler.BURST)):
             logger.info("event=x", extra=logs.ORDINARY)
         logger.warning("event=last")
-    found = list(lines.read(written.read_text().splitlines(), "file"))
+    found = list(lines.parse(written.read_text().splitlines(), "file"))
     assert {line.instance for line in found} == {"i-1"}
     assert [line.event for line in found[-2:]] == ["last", "lines_missing"]
     assert int(found[-1].fields["count"]) == logs.BoundedHandler.RESERVE
