--- a/pollenfork/logbook/tests/test_causes.py
+++ b/pollenfork/logbook/tests/test_causes.py
@@ -93,9 +93,9 @@
     fields = {"waited_ms": 5, "cost_ms": 20, "unread": 0} | chosen
     pairs = " ".join(f"{key}={value}" for key, value in fields.items())
     text = f"chosen request=q runner=r {pairs} loads_age_ms=7"
-    text = explain(text, ANSWERED)
-    assert text.startswith("late: the first event after 300 ms of 200")
-    assert cause in text
+    explanation = explain(text, ANSWERED)
+    assert explanation.startswith("late: the first event after 300 ms of 200")
+    assert cause in explanation
 
 
 def test_late_answer_is_explained_by_earlier_attempts() -> None:
