--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -318,7 +318,7 @@
             _LOG.error(
                 "event=reload_failed instance=%s detail=%s",
                 self._settings.instance,
-                logs.write_value(read.err_value.detail),
+                logs.quote_value(read.err_value.detail),
             )
             return
         changes = self._settings.find_changes(read.ok_value)
--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -218,7 +218,7 @@
             until = self.runners.get_kept_until(runner) or now
             _LOG.info(
                 "event=runner_kept runner=%s row=%d for_ms=%d way=%s",
-                logs.write_value(row.key),
+                logs.quote_value(row.key),
                 row.version,
                 (until - now) * 1000,
                 way.value,
@@ -226,7 +226,7 @@
             return
         _LOG.info(
             "event=runner_gone runner=%s row=%d way=%s",
-            logs.write_value(row.key),
+            logs.quote_value(row.key),
             row.version,
             way.value,
         )
@@ -239,10 +239,10 @@
         self.refused_entries[bad.fault] += 1
         _LOG.error(
             "event=runner_unreadable runner=%s row=%d reason=%s detail=%s",
-            logs.write_value(row.key),
+            logs.quote_value(row.key),
             row.version,
             bad.fault.value,
-            logs.write_value(bad.detail),
+            logs.quote_value(bad.detail),
         )
 
     def _is_older(self, version: int) -> bool:
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -146,8 +146,8 @@
             return read.ok_value
         _LOG.warning(
             "event=kept_request_unreadable key=%s detail=%s",
-            logs.write_value(row.key),
-            logs.write_value(read.err_value.detail),
+            logs.quote_value(row.key),
+            logs.quote_value(read.err_value.detail),
         )
         return None
 
--- a/pollenfork/gateway/request_handler.py
+++ b/pollenfork/gateway/request_handler.py
@@ -72,11 +72,11 @@
         _LOG.info(
             "event=refused request=%s status=%d reason=%s host=%s path=%s "
             "configuration=%s age_ms=%s",
-            logs.write_value(request),
+            logs.quote_value(request),
             refusal.status,
             refusal.reason.value,
-            logs.write_value(admission.find_host(call)),
-            logs.write_value(admission.find_path(call)),
+            logs.quote_value(admission.find_host(call)),
+            logs.quote_value(admission.find_path(call)),
             known.configuration.version if known else "-",
             "-" if age_s is None else int(age_s * 1000),
         )
--- a/pollenfork/gateway/request_log.py
+++ b/pollenfork/gateway/request_log.py
@@ -39,7 +39,7 @@
         self._counters = counted
         self._read_loads_age = read_loads_age
         self._admitted = admitted
-        self._request = logs.write_value(admitted.head.attempt)
+        self._request = logs.quote_value(admitted.head.attempt)
 
     @property
     def took_s(self) -> float:
--- a/pollenfork/logbook/tests/test_lines.py
+++ b/pollenfork/logbook/tests/test_lines.py
@@ -39,12 +39,12 @@
 
 
 def test_a_value_from_outside_cannot_pass_for_other_pairs() -> None:
-    forged = logs.write_value('x" event=answered request=other')
-    assert logs.write_value("9c41d07be2a35f68") == "9c41d07be2a35f68"
+    forged = logs.quote_value('x" event=answered request=other')
+    assert logs.quote_value("9c41d07be2a35f68") == "9c41d07be2a35f68"
     line = read(TEXT.replace("request=q", f"request={forged}"))[0]
     assert line.event == "refused"
     assert line.fields["request"] == 'x" event=answered request=other'
 
 
 def test_a_value_from_outside_has_a_bounded_length() -> None:
-    assert len(logs.write_value("x" * 100_000)) == 120
+    assert len(logs.quote_value("x" * 100_000)) == 120
--- a/pollenfork/logs.py
+++ b/pollenfork/logs.py
@@ -17,7 +17,7 @@
 _PLAIN = re.compile(r"[\w./:@+-]+", re.ASCII)
 
 
-def write_value(text: str) -> str:
+def quote_value(text: str) -> str:
     """Returns a text from outside as one value, quoted where it must be."""
     text = text[:_LONGEST_VALUE]
     return text if _PLAIN.fullmatch(text) else json.dumps(text)
