--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -55,7 +55,7 @@
     def __init__(self, endpoints: int, limit: int) -> None:
         self.rng = random.Random(1)
         self.now = 0.0
-        self.core = decisions.Decisions(
+        self.core = decisions.DecisionCore(
             ids.InstanceId("entry-0"), self.rng, limit
         )
         self.granted: list[messages.Grant] = []
--- a/benchmarks/decisions/policies.py
+++ b/benchmarks/decisions/policies.py
@@ -19,26 +19,26 @@
 
 
 class Policy(Protocol):
-    """What the driver needs of a way to decide; see `Decisions`."""
+    """What the driver needs of a way to decide; see `DecisionCore`."""
 
     def submit(
         self, ask: admission_messages.Ask, now: float
     ) -> list[decisions.Decision]:
-        """See `Decisions`."""
+        """See `DecisionCore`."""
 
     def ask_again(
         self, again: messages.AskAgain, now: float
     ) -> list[decisions.Decision]:
-        """See `Decisions`."""
+        """See `DecisionCore`."""
 
     def report(self, event: Any, now: float) -> list[decisions.Decision]:
-        """See `Decisions`."""
+        """See `DecisionCore`."""
 
     def tick(self, now: float) -> list[decisions.Decision]:
-        """See `Decisions`."""
+        """See `DecisionCore`."""
 
     def read_pressure(self, now: float) -> messages.Pressure:
-        """See `Decisions`."""
+        """See `DecisionCore`."""
 
 
 class Fifo:
@@ -206,7 +206,7 @@
         "split-only": sharing.DemandSplit(headroom=0.0),
         "pollenfork": sharing.DemandSplit(),
     }
-    return decisions.Decisions(instance, rng, WAITING_LIMIT, splits[name])
+    return decisions.DecisionCore(instance, rng, WAITING_LIMIT, splits[name])
 
 
 def hears_peers(name: str) -> bool:
--- a/benchmarks/decisions/results.py
+++ b/benchmarks/decisions/results.py
@@ -50,7 +50,9 @@
     sent = sum(1 for r in records if r.sent)
     returned = [r for r in records if r.returned_at is not None]
     return_met = sum(r.is_met_on_return() for r in returned)
-    cores = [i for i in world.instances if isinstance(i, decisions.Decisions)]
+    cores = [
+        i for i in world.instances if isinstance(i, decisions.DecisionCore)
+    ]
     predictions = sum(i.counters.predictions for i in cores)
     right = sum(i.counters.predictions_right for i in cores)
     return Result(
--- a/pollenfork/accrual.py
+++ b/pollenfork/accrual.py
@@ -1,4 +1,4 @@
-"""Minimum shares earned as time passes, from what both slices know."""
+"""Accrues minimum shares over time from admission and dispatch state."""
 
 from collections.abc import Iterator
 
@@ -10,49 +10,51 @@
 _PERIOD_S = 0.1
 
 
-class Accrual:
-    """Credits waiting classes with their part of the slots."""
+class ShareAccrual:
+    """Credits waiting classes with their minimum share of the slots."""
 
     def __init__(
         self,
         admission: admission_core.Admission,
         dispatch: dispatch_core.Dispatch,
-        learned: forecast.Forecast,
-        owed: shares.MinimumShares,
+        forecaster: forecast.Forecast,
+        minimum_shares: shares.MinimumShares,
     ) -> None:
         self._admission = admission
         self._dispatch = dispatch
-        self._forecast = learned
-        self._shares = owed
-        self._accrued_at: float | None = None
+        self._forecast = forecaster
+        self._shares = minimum_shares
+        self._last_accrual_at: float | None = None
 
     def accrue(self, now: float) -> None:
-        """Credits the time since the last call."""
-        if self._accrued_at is None:
-            self._accrued_at = now
-        elapsed = now - self._accrued_at
+        """Credits the slot time accrued since the last call."""
+        if self._last_accrual_at is None:
+            self._last_accrual_at = now
+        elapsed = now - self._last_accrual_at
         if elapsed < _PERIOD_S:
             return
-        self._accrued_at = now
-        present = list(self._list_places())
-        for place in present:
-            slots = self._count_slots(place, now)
+        self._last_accrual_at = now
+        waiting_classes = list(self._list_waiting_classes())
+        for waiting_class in waiting_classes:
+            slots = self._count_slots(waiting_class, now)
             hold = self._forecast.predict_hold(
-                place.key, place.pool, place.tier
+                waiting_class.key, waiting_class.pool, waiting_class.tier
             )
-            self._shares.accrue(place, slots * elapsed, hold)
-        self._shares.retain(present)
+            self._shares.accrue(waiting_class, slots * elapsed, hold)
+        self._shares.retain(waiting_classes)
 
-    def _list_places(self) -> Iterator[shares.WaitingClass]:
+    def _list_waiting_classes(self) -> Iterator[shares.WaitingClass]:
         for pool, tier in self._admission.list_queues():
             for key in self._admission.list_classes(pool, tier):
                 yield shares.WaitingClass(pool, key, tier)
 
-    def _count_slots(self, place: shares.WaitingClass, now: float) -> float:
-        """Returns the class's slots at this instance, a fraction mostly."""
-        claims = self._dispatch.get_slot_usage(place.pool)
-        if claims is None:
+    def _count_slots(
+        self, waiting_class: shares.WaitingClass, now: float
+    ) -> float:
+        """Returns the class's slots at this instance, usually a fraction."""
+        usage = self._dispatch.get_slot_usage(waiting_class.pool)
+        if usage is None:
             return 0.0
-        pool, key, tier = place
+        pool, key, tier = waiting_class
         share = self._admission.get_minimum_share(pool, tier, key, now)
-        return share * claims.capacity / claims.instances
+        return share * usage.capacity / usage.instances
--- a/pollenfork/decisions.py
+++ b/pollenfork/decisions.py
@@ -1,7 +1,8 @@
-"""Admission and dispatch composed into one core without I/O.
+"""Combines admission and dispatch into one core without I/O.
 
-Events and the time go in, grants and refusals come out. The scheduler's
-actor drives it in the program; tests and benchmarks drive it directly.
+The input is events and the current time, the output grants and refusals. The
+scheduler's actor drives the core in production; tests and benchmarks drive it
+directly.
 """
 
 import random
@@ -27,11 +28,11 @@
 _Reason = admission_messages.RefusalReason
 _Retry = messages.RetryReason
 
-_HEDGE_PART = 0.95
+_HEDGE_QUANTILE = 0.95
 
 
-class Decisions:
-    """Who is served where and when, and who is refused, at one instance."""
+class DecisionCore:
+    """Decides which requests one instance serves, where, and when."""
 
     def __init__(
         self,
@@ -49,36 +50,36 @@
             split or sharing.DemandSplit(),
         )
         self._forecast = forecast.Forecast()
-        self._outlook = outlook.Outlook(
+        self._predictor = outlook.RequestPredictor(
             self._admission, self._dispatch, self._forecast, rng
         )
         self._shares = shares.MinimumShares()
-        self._accrual = accrual.Accrual(
+        self._accrual = accrual.ShareAccrual(
             self._admission, self._dispatch, self._forecast, self._shares
         )
         self._budgets = budget.RetryBudgets()
-        self._verdicts = verdicts.Verdicts(self.counters)
+        self._decisions = verdicts.DecisionBuffer(self.counters)
         self._is_draining = False
 
     def submit(self, ask: admission_messages.Ask, now: float) -> list[Decision]:
-        """Takes a request; its decision may come with a later event."""
-        self._give_up_expired(now)
+        """Submits a request; a later event may bring its decision."""
+        self._refuse_expired(now)
         reason = self._find_refusal(ask)
         if reason is not None:
             self._refuse(ask, reason, now)
-        elif not self._serve_at_once(ask, now):
+        elif not self._serve_immediately(ask, now):
             self._queue(ask, now)
-        return self._verdicts.take()
+        return self._decisions.take()
 
     def ask_again(self, again: messages.AskAgain, now: float) -> list[Decision]:
-        """Takes an admitted request's wish for a further attempt."""
+        """Requests a further attempt for an admitted request."""
         ask = self._admission.find_ask(again.request)
         if ask is None or self._admission.is_waiting(again.request):
             refused = admission_messages.Refused(
                 request=again.request, reason=_Reason.CALLER_GONE
             )
-            self._verdicts.add_refused(refused)
-            return self._verdicts.take()
+            self._decisions.add_refused(refused)
+            return self._decisions.take()
         if again.reason is _Retry.HEDGE:
             self._hedge(ask, again, now)
         else:
@@ -86,24 +87,24 @@
         return self._decide(now)
 
     def report(self, event: Any, now: float) -> list[Decision]:
-        """Takes any other event."""
+        """Handles any other event."""
         match event:
             case messages.FirstToken():
-                self._note_first(event)
+                self._record_first_token(event)
                 return []
             case messages.Progress():
                 self._dispatch.record_progress(event, now)
                 return []
             case messages.AttemptEnded():
-                self._end(event, now)
+                self._end_attempt(event, now)
             case messages.RequestClosed() | admission_messages.Withdrawn():
-                if not self._leave(event, now):
-                    return self._verdicts.take()
+                if not self._remove_request(event, now):
+                    return self._decisions.take()
             case _:
-                self._take_news(event, now)
+                self._apply_update(event, now)
         return self._decide(now)
 
-    def _take_news(self, event: Any, now: float) -> None:
+    def _apply_update(self, event: Any, now: float) -> None:
         match event:
             case messages.EndpointReport():
                 self._dispatch.record_report(event, now)
@@ -119,46 +120,46 @@
                 raise TypeError(f"unknown event {type(event).__name__}")
 
     def tick(self, now: float) -> list[Decision]:
-        """Lets time pass; call it about every 50 ms."""
+        """Handles the passage of time; call this about every 50 ms."""
         self._dispatch.tick(now)
         self._accrual.accrue(now)
         self.counters.ejections = self._dispatch.ejections
         return self._decide(now)
 
     def drain(self) -> None:
-        """Refuses new requests from now on; what is here goes on."""
+        """Refuses new requests; waiting and running ones continue."""
         self._is_draining = True
 
     def refuse_all(self) -> list[Decision]:
-        """Refuses all that waits: the instance stops."""
+        """Refuses all waiting requests because the instance is stopping."""
         self._is_draining = True
         for waiting in self._admission.pop_all():
-            self._verdicts.refuse(waiting.ask, _Reason.STOPPING)
-        return self._verdicts.take()
+            self._decisions.refuse(waiting.ask, _Reason.STOPPING)
+        return self._decisions.take()
 
     def abandon(self, request: ids.RequestId) -> list[Decision]:
-        """Refuses a request on which deciding failed."""
+        """Refuses a request for which `submit` or `ask_again` raised."""
         self._admission.withdraw(request)
         refused = admission_messages.Refused(
             request=request, reason=_Reason.INSTANCE_FULL
         )
-        self._verdicts.add_refused(refused)
-        return self._verdicts.take()
+        self._decisions.add_refused(refused)
+        return self._decisions.take()
 
     def read_pressure(self, now: float) -> messages.Pressure:
-        """Returns what peers should know of this instance."""
+        """Returns the load of this instance, to send to its peers."""
         return self._dispatch.make_pressure(self._admission.list_waits(now))
 
     def count_in_flight(self) -> int:
-        """Returns the attempts that hold a slot."""
+        """Returns the number of attempts that hold a slot."""
         return self._dispatch.count_in_flight()
 
     def count_open(self) -> int:
-        """Returns the requests that count against their account."""
+        """Returns the number of requests that count against accounts."""
         return self._admission.count_open()
 
     def count_waiting(self) -> int:
-        """Returns the requests that wait."""
+        """Returns the number of waiting requests."""
         return self._admission.size
 
     # Arrivals.
@@ -174,11 +175,11 @@
         return self._admission.find_refusal(ask)
 
     def _queue(self, ask: admission_messages.Ask, now: float) -> None:
-        wait = self._outlook.predict_wait(ask, now)
-        if ask.late_refused and self._outlook.is_hopeless(ask, wait, now):
+        wait = self._predictor.predict_wait(ask, now)
+        if ask.late_refused and self._predictor.misses_target(ask, wait, now):
             self._refuse(ask, _Reason.TARGET_UNREACHABLE, now)
             return
-        waiting = self._admission.add(ask, self._outlook.find_expiry(ask))
+        waiting = self._admission.add(ask, self._predictor.compute_expiry(ask))
         waiting.predicted_s = wait.seconds
         for victim, reason in self._admission.pop_victims(ask.tier):
             self._refuse(victim.ask, reason, now)
@@ -195,12 +196,12 @@
         sent = self._dispatch.count_attempts(ask.request)
         reason = self._budgets.charge(ask, again.reason, sent, now)
         if reason is not None:
-            self._verdicts.refuse(ask, reason)
+            self._decisions.refuse(ask, reason)
             return
-        self._verdicts.count_retry(again.reason)
+        self._decisions.count_retry(again.reason)
         if again.reason is _Retry.CONTINUE_ELSEWHERE:
             ask = budget.renew_deadlines(ask, now)
-        expires_at = self._outlook.find_expiry(ask)
+        expires_at = self._predictor.compute_expiry(ask)
         self._admission.add_again(ask, again.avoid, expires_at)
 
     def _hedge(
@@ -211,26 +212,26 @@
     ) -> None:
         reason = self._budgets.find_hedge_refusal(ask)
         if reason is not None:
-            self._verdicts.refuse(ask, reason)
+            self._decisions.refuse(ask, reason)
             return
         rule = dispatch_core.Rule.IDLE
         grant = self._dispatch.place(ask, now, rule, again.avoid)
         if grant is None:
-            self._verdicts.refuse(ask, _Reason.HEDGE_UNWANTED)
+            self._decisions.refuse(ask, _Reason.HEDGE_UNWANTED)
             return
         self._budgets.spend(ask)
-        self._verdicts.count_retry(again.reason)
-        self._verdicts.add_grant(grant)
+        self._decisions.count_retry(again.reason)
+        self._decisions.add_grant(grant)
 
-    # The course of attempts.
+    # Attempt events.
 
-    def _note_first(self, first: messages.FirstToken) -> None:
+    def _record_first_token(self, first: messages.FirstToken) -> None:
         attempt = self._dispatch.record_first_token(first)
         if attempt is not None:
             took = first.at - attempt.granted_at
             self._forecast.record_first_token(attempt.ask, took)
 
-    def _end(self, ended: messages.AttemptEnded, now: float) -> None:
+    def _end_attempt(self, ended: messages.AttemptEnded, now: float) -> None:
         attempt = self._dispatch.end(ended, now)
         if attempt is None or ended.how is not messages.AttemptEnd.FINISHED:
             return
@@ -238,12 +239,12 @@
         answering = ended.at - (attempt.first_at or ended.at)
         self._forecast.record_end(attempt.ask, hold, ended.tokens, answering)
 
-    def _leave(
+    def _remove_request(
         self,
         event: messages.RequestClosed | admission_messages.Withdrawn,
         now: float,
     ) -> bool:
-        """Forgets the request; returns whether that freed a slot."""
+        """Removes the request; returns whether that freed a slot."""
         waiting = self._admission.withdraw(event.request)
         if waiting is not None:
             self._refuse(waiting.ask, _Reason.CALLER_GONE, now)
@@ -255,18 +256,20 @@
     # Decisions.
 
     def _decide(self, now: float) -> list[Decision]:
-        self._give_up_expired(now)
+        self._refuse_expired(now)
         if self._admission.size:
             self._serve_shares(now)
             self._serve_tiers(now)
-        return self._verdicts.take()
+        return self._decisions.take()
 
-    def _give_up_expired(self, now: float) -> None:
+    def _refuse_expired(self, now: float) -> None:
         for waiting, reason in self._admission.pop_expired(now):
             self._refuse(waiting.ask, reason, now)
 
-    def _serve_at_once(self, ask: admission_messages.Ask, now: float) -> bool:
-        """Serves a request that nothing waits before, if a slot is free."""
+    def _serve_immediately(
+        self, ask: admission_messages.Ask, now: float
+    ) -> bool:
+        """Serves a request if a slot is free and none waits ahead of it."""
         pool = admission_messages.pool_key(ask)
         if self._admission.has_waiting(pool, ask.tier):
             return False
@@ -278,8 +281,8 @@
         if grant is None:
             return False
         self._admission.open(ask)
-        self._note_first_attempt(ask, now)
-        self._verdicts.add_grant(grant)
+        self._record_first_attempt(ask, now)
+        self._decisions.add_grant(grant)
         return True
 
     def _serve_tiers(self, now: float) -> None:
@@ -315,23 +318,23 @@
         if grant is None:
             return False
         self._admission.dequeue(waiting)
-        self._verdicts.add_grant(grant)
+        self._decisions.add_grant(grant)
         key = admission_messages.class_key(ask)
         pool = admission_messages.pool_key(ask)
         self._shares.charge(shares.WaitingClass(pool, key, ask.tier))
         if not waiting.again:
-            self._note_first_attempt(ask, now)
+            self._record_first_attempt(ask, now)
             waited = now - ask.arrived
             self._forecast.record_wait(waiting, waited)
-            self._verdicts.count_prediction(waiting.predicted_s, waited)
+            self._decisions.count_prediction(waiting.predicted_s, waited)
         return True
 
     def _find_hedge_delay(self, ask: admission_messages.Ask) -> float | None:
         if ask.hedge and ask.idempotent:
-            return self._forecast.predict_first_token(ask, _HEDGE_PART)
+            return self._forecast.predict_first_token(ask, _HEDGE_QUANTILE)
         return None
 
-    def _note_first_attempt(
+    def _record_first_attempt(
         self, ask: admission_messages.Ask, now: float
     ) -> None:
         self._forecast.record_grant(ask, now)
@@ -341,5 +344,5 @@
     def _refuse(
         self, ask: admission_messages.Ask, reason: _Reason, now: float
     ) -> None:
-        retry_after_s = self._outlook.predict_return(ask, reason, now)
-        self._verdicts.refuse(ask, reason, retry_after_s)
+        retry_after_s = self._predictor.estimate_retry_after(ask, reason, now)
+        self._decisions.refuse(ask, reason, retry_after_s)
--- a/pollenfork/dispatch/tests/test_affinity.py
+++ b/pollenfork/dispatch/tests/test_affinity.py
@@ -23,7 +23,7 @@
 PREFIXES = 8
 
 
-def make_instances(count: int) -> list[decisions.Decisions]:
+def make_instances(count: int) -> list[decisions.DecisionCore]:
     endpoints = {
         f"runner-{n}": model.EndpointSettings(
             address=f"10.0.0.{n}:80",
@@ -36,7 +36,9 @@
     tree = model.Tree(root=model.RootSettings(endpoints=endpoints))
     event = settings_messages.TreeInForce(tree, snapshot.Snapshot(tree))
     instances = [
-        decisions.Decisions(ids.InstanceId(f"entry-{n}"), random.Random(n), 256)
+        decisions.DecisionCore(
+            ids.InstanceId(f"entry-{n}"), random.Random(n), 256
+        )
         for n in range(count)
     ]
     for instance in instances:
--- a/pollenfork/scheduler.py
+++ b/pollenfork/scheduler.py
@@ -1,4 +1,4 @@
-"""The thread-safe front of admission and dispatch, and the actor behind."""
+"""Thread-safe interface to admission and dispatch, run by an actor."""
 
 import concurrent.futures
 import logging
@@ -18,14 +18,14 @@
 
 _LOG = logging.getLogger(__name__)
 _TICK_S = 0.05
-_WAITING = 256
+_DEFAULT_WAITING_LIMIT = 256
 
 Pending = concurrent.futures.Future[decisions.Decision]
 Counters = budget.Counters
 
 
 class Scheduler:
-    """Requests go in, grants and refusals come out; safe from any thread."""
+    """Grants or refuses requests; thread-safe."""
 
     def __init__(
         self,
@@ -33,38 +33,38 @@
         now: clock.Clock,
         rng: random.Random,
         timer: timers.Timers,
-        waiting: int = _WAITING,
+        waiting: int = _DEFAULT_WAITING_LIMIT,
     ) -> None:
         self._clock = now
         self._timers = timer
-        self._core = decisions.Decisions(instance, rng, waiting)
-        self._published = _Published(messages.Pressure(instance), Counters())
+        self._core = decisions.DecisionCore(instance, rng, waiting)
+        self._snapshot = _Snapshot(messages.Pressure(instance), Counters())
         self._actor: pykka.ActorRef[_Actor] | None = None
 
     def start(self) -> None:
-        """Starts the actor that decides."""
-        self._actor = _Actor.start(self._core, self._clock, self._published)
+        """Starts the actor that makes the decisions."""
+        self._actor = _Actor.start(self._core, self._clock, self._snapshot)
         self._timers.every(_TICK_S, lambda: self.report(_Tick()))
 
     def drain(self) -> None:
-        """Refuses new requests; those that wait or run go on."""
+        """Refuses new requests; waiting and running ones continue."""
         self.report(_Drain())
 
     def stop(self) -> None:
-        """Refuses what still waits and ends the actor."""
+        """Refuses the requests still waiting and stops the actor."""
         if self._actor:
             self._actor.stop()
 
     def submit(self, ask: admission_messages.Ask) -> Pending:
-        """Asks for a slot; the future gets exactly one decision."""
+        """Requests a slot; the future receives exactly one decision."""
         return self._send(ask.request, ask)
 
     def ask_again(self, again: messages.AskAgain) -> Pending:
-        """Asks for another attempt for an admitted request."""
+        """Requests another attempt for an admitted request."""
         return self._send(again.request, again)
 
     def report(self, event: Any) -> None:
-        """Tells of an event; returns at once."""
+        """Reports an event without blocking."""
         if self._actor is None:
             return
         try:
@@ -73,12 +73,12 @@
             _LOG.debug("event=report_after_stop kind=%s", type(event).__name__)
 
     def read_pressure(self) -> messages.Pressure:
-        """Returns what peers should know, as of the last tick."""
-        return self._published.pressure
+        """Returns the load to send to peers, as of the last tick."""
+        return self._snapshot.pressure
 
     def read_counters(self) -> Counters:
         """Returns a copy of the counters, as of the last tick."""
-        return self._published.counters
+        return self._snapshot.counters
 
     def _send(
         self,
@@ -99,8 +99,8 @@
         return pending
 
 
-class _Published:
-    """What any thread may read; each attribute is replaced whole."""
+class _Snapshot:
+    """State readable from any thread; attributes are replaced, not changed."""
 
     def __init__(self, pressure: messages.Pressure, counters: Counters) -> None:
         self.pressure = pressure
@@ -108,15 +108,15 @@
 
 
 class _Tick:
-    """Time has passed."""
+    """Sent periodically so that the core handles the passage of time."""
 
 
 class _Drain:
-    """New requests are refused from now on."""
+    """From this message on, new requests are refused."""
 
 
 class _Asked:
-    """A request or its wish for another attempt, and who waits for it."""
+    """A request for a first or further attempt, with its future."""
 
     def __init__(
         self,
@@ -128,86 +128,86 @@
 
 
 class _Actor(pykka.ThreadingActor):
-    """Owns the core; answers each future exactly once."""
+    """Owns the core; resolves each future exactly once."""
 
     use_daemon_thread = True
 
     def __init__(
         self,
-        core: decisions.Decisions,
+        core: decisions.DecisionCore,
         now: clock.Clock,
-        published: _Published,
+        snapshot: _Snapshot,
     ) -> None:
         super().__init__()
         self._core = core
         self._clock = now
-        self._published = published
+        self._snapshot = snapshot
         self._pending: dict[ids.RequestId, Pending] = {}
 
     def on_receive(self, message: Any) -> None:
-        """Takes one message and carries out what the core decides.
+        """Handles a message and resolves the futures that the core decides.
 
-        An exception would end the actor, and with it the instance's service:
-        a message that the core fails on is logged and left.
+        An exception would stop the actor, and with it the whole instance, so
+        messages that make the core fail are logged and dropped.
         """
         try:
-            self._take(message, self._clock.monotonic())
+            self._handle(message, self._clock.monotonic())
         except Exception:
             kind = type(message).__name__
             _LOG.exception("event=scheduler_failed message=%s", kind)
 
-    def _take(self, message: Any, now: float) -> None:
+    def _handle(self, message: Any, now: float) -> None:
         match message:
             case _Asked():
-                self._take_asked(message, now)
+                self._handle_asked(message, now)
             case _Tick():
-                self._answer(self._core.tick(now))
-                self._publish(now)
+                self._resolve(self._core.tick(now))
+                self._update_snapshot(now)
             case _Drain():
                 self._core.drain()
             case _:
-                self._answer(self._core.report(message, now))
+                self._resolve(self._core.report(message, now))
 
     def on_stop(self) -> None:
-        """Refuses what still waits."""
-        self._answer(self._core.refuse_all())
+        """Refuses the requests still waiting."""
+        self._resolve(self._core.refuse_all())
 
-    def _take_asked(self, message: _Asked, now: float) -> None:
+    def _handle_asked(self, message: _Asked, now: float) -> None:
         asked = message.asked
         if asked.request in self._pending:
-            _refuse_twin(asked.request, message.pending)
+            _refuse_duplicate(asked.request, message.pending)
             return
         self._pending[asked.request] = message.pending
         try:
-            self._answer(self._ask_core(asked, now))
+            self._resolve(self._decide(asked, now))
         except Exception:
-            self._answer(self._core.abandon(asked.request))
+            self._resolve(self._core.abandon(asked.request))
             raise
 
-    def _ask_core(
+    def _decide(
         self, asked: admission_messages.Ask | messages.AskAgain, now: float
     ) -> list[decisions.Decision]:
         if isinstance(asked, admission_messages.Ask):
             return self._core.submit(asked, now)
         return self._core.ask_again(asked, now)
 
-    def _answer(self, decided: list[decisions.Decision]) -> None:
-        for decision in decided:
+    def _resolve(self, decisions_made: list[decisions.Decision]) -> None:
+        for decision in decisions_made:
             pending = self._pending.pop(decision.request, None)
             if pending is not None:
                 pending.set_result(decision)
 
-    def _publish(self, now: float) -> None:
-        self._published.pressure = self._core.read_pressure(now)
-        self._published.counters = msgspec.structs.replace(
+    def _update_snapshot(self, now: float) -> None:
+        self._snapshot.pressure = self._core.read_pressure(now)
+        self._snapshot.counters = msgspec.structs.replace(
             self._core.counters,
             refusals=dict(self._core.counters.refusals),
             retries=dict(self._core.counters.retries),
         )
 
 
-def _refuse_twin(request: ids.RequestId, pending: Pending) -> None:
-    """Refuses a second wish while the first one is still open."""
+def _refuse_duplicate(request: ids.RequestId, pending: Pending) -> None:
+    """Refuses a second attempt requested while the first is pending."""
     pending.set_result(
         admission_messages.Refused(
             request=request,
--- a/pollenfork/verdicts.py
+++ b/pollenfork/verdicts.py
@@ -1,4 +1,4 @@
-"""Grants and refusals on their way out, counted by reason."""
+"""Buffers grants and refusals, and counts them by reason."""
 
 from pollenfork.admission import messages as admission_messages
 from pollenfork.dispatch import budget
@@ -6,26 +6,26 @@
 
 Decision = messages.Grant | admission_messages.Refused
 
-_RIGHT_S = 0.5
-_RIGHT_PART = 0.5
+_TOLERANCE_S = 0.5
+_TOLERANCE_RATIO = 0.5
 
 
-class Verdicts:
-    """Collects what one event decided."""
+class DecisionBuffer:
+    """Collects the decisions that result from one event."""
 
     def __init__(self, counters: budget.Counters) -> None:
         self._counters = counters
-        self._decided: list[Decision] = []
+        self._decisions: list[Decision] = []
 
     def add_grant(self, grant: messages.Grant) -> None:
         """Adds a grant."""
         self._counters.attempts += 1
-        self._decided.append(grant)
+        self._decisions.append(grant)
 
     def add_refused(self, refused: admission_messages.Refused) -> None:
         """Adds a refusal."""
         _count(self._counters.refusals, refused.reason.value)
-        self._decided.append(refused)
+        self._decisions.append(refused)
 
     def refuse(
         self,
@@ -41,21 +41,21 @@
         )
 
     def count_retry(self, reason: messages.RetryReason) -> None:
-        """Counts a further attempt that was allowed."""
+        """Counts a retry that was allowed."""
         _count(self._counters.retries, reason.value)
 
     def count_prediction(self, predicted_s: float, waited_s: float) -> None:
-        """Counts whether a predicted wait came about right."""
+        """Counts a predicted wait, and whether it was accurate enough."""
         self._counters.predictions += 1
         error = abs(waited_s - predicted_s)
-        if error <= max(_RIGHT_S, _RIGHT_PART * waited_s):
+        if error <= max(_TOLERANCE_S, _TOLERANCE_RATIO * waited_s):
             self._counters.predictions_right += 1
 
     def take(self) -> list[Decision]:
-        """Returns what was decided since the last call."""
-        decided = self._decided
-        self._decided = []
-        return decided
+        """Returns the decisions made since the last call."""
+        decisions = self._decisions
+        self._decisions = []
+        return decisions
 
 
 def _count(counts: dict[str, int], key: str) -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -26,12 +26,12 @@
 
 
 @pytest.fixture
-def core() -> decisions.Decisions:
+def core() -> decisions.DecisionCore:
     return make_core()
 
 
-def make_core(endpoints: int = 2) -> decisions.Decisions:
-    core = decisions.Decisions("entry-0", random.Random(1), 100)
+def make_core(endpoints: int = 2) -> decisions.DecisionCore:
+    core = decisions.DecisionCore("entry-0", random.Random(1), 100)
     known = {
         f"runner-{n}": model.EndpointSettings(
             address=f"10.0.0.{n}:80",
@@ -65,7 +65,7 @@
 
 
 def end(
-    core: decisions.Decisions, grant: messages.Grant, how: _End, now: float
+    core: decisions.DecisionCore, grant: messages.Grant, how: _End, now: float
 ) -> list[decisions.Decision]:
     event = messages.AttemptEnded(
         attempt=grant.attempt, how=how, tokens=10, at=now
@@ -74,7 +74,7 @@
 
 
 def test_lowest_tier_is_served_within_its_bound_under_saturation(
-    core: decisions.Decisions,
+    core: decisions.DecisionCore,
 ) -> None:
     low = make_ask("low", tier=6, class_name="logs", give_up_at=1e6)
     held: list[messages.Grant] = []
@@ -100,7 +100,7 @@
 
 
 def test_lower_tier_leaves_slots_to_what_waits_at_a_peer(
-    core: decisions.Decisions,
+    core: decisions.DecisionCore,
 ) -> None:
     demand = messages.Demand("lines", 0, 2 * SLOTS, 100)
     core.report(messages.Pressure("entry-1", (demand,)), 0.0)
@@ -110,7 +110,7 @@
     assert isinstance(decision, messages.Grant)
 
 
-def test_lost_peers_queue_counts_no_more(core: decisions.Decisions) -> None:
+def test_lost_peers_queue_counts_no_more(core: decisions.DecisionCore) -> None:
     demand = messages.Demand("lines", 0, 2 * SLOTS, 100)
     core.report(messages.Pressure("entry-1", (demand,)), 0.0)
     assert core.submit(make_ask("low", tier=5), 0.0) == []
@@ -170,7 +170,7 @@
     ],
 )
 def test_retry_only_where_it_is_safe_and_in_time(
-    core: decisions.Decisions,
+    core: decisions.DecisionCore,
     reason: _Retry,
     changed: dict[str, Any],
     refusal: _Reason | None,
@@ -250,7 +250,7 @@
         if n not in world.lost_instances
     ]
     for core in alive:
-        assert isinstance(core, decisions.Decisions)
+        assert isinstance(core, decisions.DecisionCore)
         assert core.count_in_flight() == core.count_waiting() == 0
         assert core.count_open() == 0
     low = [r for r in world.records if r.arrival.kind.settings.tier == 6]
--- a/tests/test_decisions_machine.py
+++ b/tests/test_decisions_machine.py
@@ -37,7 +37,7 @@
 
     def __init__(self, number: int) -> None:
         self.name = f"entry-{number}"
-        self.core = decisions.Decisions(
+        self.core = decisions.DecisionCore(
             self.name, random.Random(number), WAITING_LIMIT
         )
         self.asks: dict[str, admission_messages.Ask] = {}
