--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -1,4 +1,4 @@
-"""One entry instance: owns every part, starts and stops them in order."""
+"""An entry instance: creates, starts and stops its components."""
 
 from collections.abc import Callable
 import enum
@@ -45,15 +45,15 @@
 
 
 class Application:
-    """The life of one entry instance."""
+    """Manages the lifecycle of one entry instance."""
 
     def __init__(self, settings: config.EntryConfig, now: clock.Clock) -> None:
         self._config = settings
         self._clock = now
         self._stopping = threading.Event()
-        self._in_force = threading.Event()
+        self._settings_in_force = threading.Event()
         self._rng = random.Random()
-        self._listed: int | None = None
+        self._listed_count: int | None = None
         self._timers = timers.Timers(now)
         self.metrics = metrics.Metrics()
         self.platform = connection.connect(
@@ -69,11 +69,13 @@
             self.endpoints, self._scheduler.read_pressure, now
         )
         self.membership = self._make_membership()
-        self._copies = peers.Copies(self._presence, self.membership)
+        self._peer_settings = peers.PeerSettings(
+            self._presence, self.membership
+        )
         self._relay = session.Relay(self._scheduler, now)
         self._ledger = self._open_ledger()
         self._housekeeping = housekeeping.Housekeeper(
-            self._timers, _HOUSEKEEPING_S, self._keep_house
+            self._timers, _HOUSEKEEPING_S, self._run_housekeeping
         )
         self._front = self._make_front()
         self._server: server.Server | None = None
@@ -81,28 +83,30 @@
 
     @property
     def address(self) -> str:
-        """Where callers connect, as `host:port`; known once started."""
+        """The callers' address as `host:port`; available once started."""
         assert self._server is not None
         host, port = self._server.socket.getsockname()[:2]
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Starts every part; returns once callers can connect.
+        """Starts all components; returns once callers can connect.
 
         Raises:
-            OSError: An address is taken; no part is left running.
+            OSError: An address is in use; no component is left running.
         """
-        # First, so that no peer hears of an instance that can't listen.
+        # Created first, so that peers don't learn of an instance that fails
+        # to listen.
         self._server = server.create_server(
             self._front, self._config, self._front.write_refusal, self._clock
         )
         try:
             self._start_parts()
         except Exception:
-            # Threads left over would keep the process, and its peers' trust.
+            # Remaining threads would keep the process running, and peers
+            # would still consider it live.
             self.stop()
             raise
-        exposition.watch_entry(
+        exposition.register_entry(
             self.metrics, self._front.in_progress, self._server.counters
         )
         self._thread = threading.Thread(
@@ -126,15 +130,15 @@
         self._housekeeping.start()
         self._timers.start()
 
-    def drain(self, insisted: threading.Event | None = None) -> bool:
-        """Takes no new work and waits until none is in progress.
+    def drain(self, force: threading.Event | None = None) -> bool:
+        """Refuses new requests and waits for those in progress to end.
 
         Args:
-            insisted: Ends the wait early when set.
+            force: Ends the wait early once set.
 
         Returns:
-            Whether every request in progress has ended, its last byte with
-            the caller's connection.
+            Whether all requests in progress have ended and their last bytes
+            have been written to the callers' connections.
         """
         self._stopping.set()
         self._scheduler.drain()
@@ -143,9 +147,9 @@
             self._config.instance,
             self._front.in_progress.count,
         )
-        end = time.monotonic() + self._config.stop_limit_s
-        while time.monotonic() < end:
-            if insisted and insisted.is_set():
+        deadline = time.monotonic() + self._config.stop_limit_s
+        while time.monotonic() < deadline:
+            if force and force.is_set():
                 return False
             idle = self._front.in_progress.wait_until_idle(_STOP_POLL_S)
             if idle and self._server and not self._server.count_unsent():
@@ -153,9 +157,12 @@
         return False
 
     def stop(self) -> None:
-        """Leaves the peers, then stops every part, the newest first."""
+        """Leaves the membership, then stops all components.
+
+        They stop roughly in reverse order of their start.
+        """
         self._stopping.set()
-        ends: tuple[Callable[[], None], ...] = (
+        stop_calls: tuple[Callable[[], None], ...] = (
             self.membership.leave,
             self._stop_server,
             self._housekeeping.stop,
@@ -166,12 +173,14 @@
             self._scheduler.stop,
             self.settings.stop,
         )
-        for end in ends:
+        for stop_call in stop_calls:
             try:
-                end()
+                stop_call()
             except Exception:
-                # The others must end all the same, or the process stays.
-                _LOG.exception("event=stop_failed part=%s", end.__qualname__)
+                # Stop the other components too, or the process won't exit.
+                _LOG.exception(
+                    "event=stop_failed part=%s", stop_call.__qualname__
+                )
         _LOG.info("event=stopped instance=%s", self._config.instance)
 
     def _stop_server(self) -> None:
@@ -179,19 +188,19 @@
             self._server.stop()
 
     def is_ready(self) -> bool:
-        """Returns whether new work may come."""
-        return self._in_force.is_set() and not self._stopping.is_set()
+        """Returns whether the instance accepts new requests."""
+        return self._settings_in_force.is_set() and not self._stopping.is_set()
 
     def wait_until_ready(self, timeout_s: float) -> bool:
-        """Returns True once settings are in force, False at the timeout."""
-        return self._in_force.wait(timeout_s)
+        """Waits for settings to be in force; returns False on timeout."""
+        return self._settings_in_force.wait(timeout_s)
 
     def _apply_tree(self, message: settings_messages.TreeInForce) -> None:
         self._scheduler.report(message)
         self.endpoints.apply(message)
-        self._in_force.set()
+        self._settings_in_force.set()
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         now = self._clock.monotonic()
         self.platform.budget.set_instances(self._count_instances(), now)
         self._ledger.settle_deferred()
@@ -201,32 +210,33 @@
         )
 
     def _count_instances(self) -> int:
-        """Returns the entry instances that share the platform's rates.
+        """Returns how many entry instances share the platform's rate limits.
 
-        The list counts them all, also those that a partition hides from
-        membership. Until it has been read their number isn't known: 0.
+        The platform's list also includes instances that a partition hides
+        from membership. Until it has been read, the number is unknown and 0
+        is returned.
         """
         listed = self.platform.instances.fetch()
         if isinstance(listed, result.Ok):
             entry = platform_edges.InstanceRole.ENTRY
-            self._listed = sum(i.role is entry for i in listed.ok_value)
-        if self._listed is None:
+            self._listed_count = sum(i.role is entry for i in listed.ok_value)
+        if self._listed_count is None:
             return 0
-        return max(self._listed, self._presence.count())
+        return max(self._listed_count, self._presence.count())
 
-    def _hear_endpoint(
+    def _on_endpoint_event(
         self,
-        news: dispatch_messages.EndpointReport
+        event: dispatch_messages.EndpointReport
         | dispatch_messages.EndpointNotice,
     ) -> None:
-        self._scheduler.report(news)
-        self._endpoint_views.note(news)
+        self._scheduler.report(event)
+        self._endpoint_views.record(event)
 
     def _read_pressure(self) -> dispatch_messages.Pressure:
         pressure = self._scheduler.read_pressure()
         return peers.add_leaving(pressure, self.endpoints.read_leaving())
 
-    # How the parts are made.
+    # Creation of the components.
 
     def _make_settings(self) -> settings_actor.Settings:
         settings = settings_actor.Settings(
@@ -235,7 +245,7 @@
             self._rng,
             self._timers,
             self.metrics,
-            lambda peer: self._copies.fetch(peer),
+            lambda peer: self._peer_settings.fetch(peer),
         )
         settings.subscribe(self._apply_tree)
         return settings
@@ -251,8 +261,8 @@
             lambda endpoint: endpoints_client.HttpEndpoint(
                 endpoint.address, pool
             ),
-            self._hear_endpoint,
-            self._presence.list_near,
+            self._on_endpoint_event,
+            self._presence.list_local,
         )
 
     def _make_membership(self) -> lifecycle.Membership:
@@ -273,7 +283,7 @@
     def _open_ledger(self) -> ledger.Ledger:
         return ledger.Ledger(
             ledger.Parts(
-                find_owner=self._find_owner,
+                find_owner=self._get_owner,
                 table=self.platform.keyed_table,
                 objects=self.platform.keyed_objects,
                 owners=self._presence,
@@ -283,16 +293,17 @@
             )
         )
 
-    def _find_owner(self) -> claiming.Owner:
-        # Peers tell from membership's incarnation whether the owner runs on.
+    def _get_owner(self) -> claiming.Owner:
+        # Peers use the incarnation from membership to tell whether the owner
+        # is still running.
         return claiming.Owner(
             self._config.instance, self.membership.incarnation
         )
 
     def _make_front(self) -> front.Front:
-        exposition.watch_relay(self.metrics, self._relay.counters)
-        exposition.watch_scheduler(self.metrics, self._scheduler)
-        exposition.watch_peers(self.metrics, self.membership.count_failures)
+        exposition.register_relay(self.metrics, self._relay.counters)
+        exposition.register_scheduler(self.metrics, self._scheduler)
+        exposition.register_peers(self.metrics, self.membership.count_failures)
         worker = work.Worker(
             self._scheduler,
             self._relay,
--- a/pollenfork/housekeeping.py
+++ b/pollenfork/housekeeping.py
@@ -1,4 +1,4 @@
-"""Slow work that comes round again, off the timers' thread."""
+"""Runs slow periodic work outside the timers' thread."""
 
 from collections.abc import Callable
 import logging
@@ -10,12 +10,12 @@
 _LOG = logging.getLogger(__name__)
 
 
-class _Due:
+class _Run:
     pass
 
 
 class Housekeeper:
-    """Runs one blocking call again and again, never twice at once."""
+    """Runs a blocking call periodically, never two at a time."""
 
     def __init__(
         self,
@@ -26,25 +26,25 @@
         self._timers = timer
         self._period_s = period_s
         self._call = call
-        self._actor: pykka.ActorRef[_Keeper] | None = None
+        self._actor: pykka.ActorRef[_Runner] | None = None
 
     def start(self) -> None:
-        """Starts the actor; the first call comes after one period."""
-        self._actor = _Keeper.start(self._call)
-        self._timers.every(self._period_s, self._tell, self._period_s)
+        """Starts the actor; the first call is made after one period."""
+        self._actor = _Runner.start(self._call)
+        self._timers.every(self._period_s, self._trigger, self._period_s)
 
     def stop(self) -> None:
-        """Ends the actor after the call under way."""
+        """Stops the actor after the current call."""
         if self._actor:
             self._actor.stop()
 
-    def _tell(self) -> None:
-        # A mailbox with a message in it means that a call is under way.
+    def _trigger(self) -> None:
+        # A message in the mailbox means that the current call is still running.
         if self._actor and self._actor.actor_inbox.empty():
-            self._actor.tell(_Due())
+            self._actor.tell(_Run())
 
 
-class _Keeper(pykka.ThreadingActor):
+class _Runner(pykka.ThreadingActor):
     use_daemon_thread = True
 
     def __init__(self, call: Callable[[], object]) -> None:
@@ -52,7 +52,7 @@
         self._call = call
 
     def on_receive(self, message: object) -> None:
-        """Makes the call."""
+        """Runs the call; exceptions are logged."""
         del message
         try:
             self._call()
--- a/pollenfork/instance.py
+++ b/pollenfork/instance.py
@@ -1,4 +1,4 @@
-"""Runs one entry instance until it is told to stop."""
+"""Runs an entry instance until it receives a stop signal."""
 
 import pathlib
 import signal
@@ -16,31 +16,31 @@
 def run_entry(
     path: pathlib.Path, output: TextIO, errors: TextIO
 ) -> status.ExitStatus:
-    """Serves until SIGTERM or SIGINT, then finishes what runs.
+    """Serves until SIGTERM or SIGINT, then finishes running requests.
 
     A second signal ends the wait for requests in progress.
 
     Args:
         path: The settings file.
-        output: Told the address once callers can connect.
-        errors: Told what is wrong with the settings.
+        output: Receives the address once callers can connect.
+        errors: Receives error messages.
     """
     read = config.read_file(path, config.EntryConfig)
     if read.is_err():
         errors.write(f"pollenfork: {read.unwrap_err().detail}\n")
         return status.ExitStatus.USAGE
     app = application.Application(read.unwrap(), clock.SystemClock())
-    told = threading.Event()
-    insisted = threading.Event()
+    stop_requested = threading.Event()
+    stop_forced = threading.Event()
 
-    def note_signal(number: int, frame: object) -> None:
+    def handle_signal(number: int, frame: object) -> None:
         del number, frame
-        if told.is_set():
-            insisted.set()
-        told.set()
+        if stop_requested.is_set():
+            stop_forced.set()
+        stop_requested.set()
 
     for number in _SIGNALS:
-        signal.signal(number, note_signal)
+        signal.signal(number, handle_signal)
     try:
         app.start()
     except (OSError, ValueError, RuntimeError) as error:
@@ -48,7 +48,7 @@
         return status.ExitStatus.ERROR
     output.write(f"listening on {app.address}\n")
     output.flush()
-    told.wait()
-    finished = app.drain(insisted)
+    stop_requested.wait()
+    finished = app.drain(stop_forced)
     app.stop()
     return status.ExitStatus.SUCCESS if finished else status.ExitStatus.ERROR
--- a/pollenfork/metric_help.py
+++ b/pollenfork/metric_help.py
@@ -1,4 +1,4 @@
-"""What each metric says, as scrapes show it."""
+"""Help texts and histogram buckets of the metrics."""
 
 HELP = {
     "pollenfork_answer_seconds": (
@@ -159,8 +159,8 @@
     ),
 }
 
-# Upper bounds of the histograms' buckets, in seconds: the targets of
-# interactive classes lie between 0.1 and 2.5 s, long answers take minutes.
+# Upper bounds of the histogram buckets, in seconds: targets of interactive
+# classes range from 0.1 to 2.5 s, long answers take minutes.
 LATENCY_BOUNDS_S = (
     0.05,
     0.1,
--- a/pollenfork/metrics.py
+++ b/pollenfork/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the process, in Prometheus' text form."""
+"""Metrics of the process, exposed in the Prometheus text format."""
 
 from collections.abc import Callable
 import threading
@@ -9,8 +9,8 @@
 
 from pollenfork import metric_help
 
-# Label sets of one metric; teams choose class names. A scrape takes about
-# 130 us of CPU for each histogram's series.
+# Maximum label sets per metric: teams choose class names, so their number is
+# unbounded. A scrape takes about 130 us of CPU per histogram series.
 MAX_SERIES = 1000
 MAX_HISTOGRAM_SERIES = 200
 OTHER = "other"
@@ -18,10 +18,10 @@
 
 
 class Metrics:
-    """What the process counts; safe from any thread.
+    """The metrics of the process; thread-safe.
 
-    A metric takes a bounded number of sets of label values; what comes
-    beyond is counted with every label set to `other`.
+    The number of label sets per metric is limited; samples beyond the limit
+    are counted with every label set to `other`.
     """
 
     def __init__(self) -> None:
@@ -33,20 +33,20 @@
         self._sources: list[Callable[[], None]] = []
 
     def add_source(self, read: Callable[[], None]) -> None:
-        """Calls `read` before each scrape; it sets what others counted."""
+        """Calls `read` before each scrape, to export counts kept elsewhere."""
         self._sources.append(read)
 
     def count(self, name: str, amount: int = 1, **labels: str) -> None:
         """Adds to the counter `name` with these labels."""
         with self._lock:
-            counter = self._find_counter(name)
-            counter.add(self._bound(counter, labels), amount)
+            counter = self._get_counter(name)
+            counter.add(self._limit_series(counter, labels), amount)
 
     def set_count(self, name: str, value: int, **labels: str) -> None:
-        """Sets the counter `name` to what another part counted so far."""
+        """Sets the counter `name` to a total counted elsewhere."""
         with self._lock:
-            counter = self._find_counter(name)
-            counter.set(self._bound(counter, labels), value)
+            counter = self._get_counter(name)
+            counter.set(self._limit_series(counter, labels), value)
 
     def set_gauge(self, name: str, value: float, **labels: str) -> None:
         """Sets the gauge `name` with these labels."""
@@ -57,7 +57,7 @@
                     name, _describe(name), registry=self._registry
                 )
                 self._gauges[name] = gauge
-            gauge.set(self._bound(gauge, labels), value)
+            gauge.set(self._limit_series(gauge, labels), value)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
         """Adds one duration to the histogram `name` with these labels."""
@@ -71,21 +71,21 @@
                     registry=self._registry,
                 )
                 self._histograms[name] = histogram
-            histogram.add(self._bound(histogram, labels), seconds)
+            histogram.add(self._limit_series(histogram, labels), seconds)
 
     def render(self) -> tuple[bytes, str]:
-        """Returns the exposition and its content type."""
+        """Returns the metrics as text, and the content type."""
         for read in self._sources:
             read()
         formatter = formats.text.TextFormatter()
-        blocks = []
+        texts = []
         for collector in self._registry.get_all():
-            with self._lock:  # Not for all at once: others want to count.
-                blocks.append(formatter.marshall_collector(collector))
-        content = "".join(f"{block}\n" for block in sorted(blocks))
+            with self._lock:  # Per collector, so others can count meanwhile.
+                texts.append(formatter.marshall_collector(collector))
+        content = "".join(f"{text}\n" for text in sorted(texts))
         return content.encode(), formatter.get_headers()["Content-Type"]
 
-    def _find_counter(self, name: str) -> aioprometheus.Counter:
+    def _get_counter(self, name: str) -> aioprometheus.Counter:
         counter = self._counters.get(name)
         if counter is None:
             counter = aioprometheus.Counter(
@@ -94,21 +94,21 @@
             self._counters[name] = counter
         return counter
 
-    def _bound(
+    def _limit_series(
         self, metric: collectors.Collector, labels: dict[str, str]
     ) -> dict[str, str]:
         escaped = {name: _escape(value) for name, value in labels.items()}
-        limit = MAX_SERIES
+        max_series = MAX_SERIES
         if isinstance(metric, aioprometheus.Histogram):
-            limit = MAX_HISTOGRAM_SERIES
-        if len(metric.values) < limit or escaped in metric.values:
+            max_series = MAX_HISTOGRAM_SERIES
+        if len(metric.values) < max_series or escaped in metric.values:
             return escaped
-        self._find_counter(_DROPPED).inc({"metric": metric.name})
+        self._get_counter(_DROPPED).inc({"metric": metric.name})
         return dict.fromkeys(labels, OTHER)
 
 
 def _escape(value: str) -> str:
-    """Returns the label's value as the text form wants it."""
+    """Escapes a label value for the text format."""
     if value.isalnum():
         return value
     return value.replace("\\", r"\\").replace("\n", r"\n").replace('"', r"\"")
--- a/pollenfork/peers.py
+++ b/pollenfork/peers.py
@@ -1,4 +1,4 @@
-"""What the other instances tell, handed to the slices that it concerns."""
+"""Routes events from other instances to the components concerned."""
 
 import threading
 
@@ -15,100 +15,100 @@
 from pollenfork.settings import actor as settings_actor
 from pollenfork.settings import messages as settings_messages
 
-_IN_FORCE = ids.Revision(0)  # Asks a peer for the tree in force there.
+_LATEST = ids.Revision(0)  # Requests the tree that the peer has in force.
 
 
 class NoPeer(failures.Failure, frozen=True, kw_only=True):
-    """No address of the peer is known."""
+    """The address of the peer is unknown."""
 
 
 class Presence:
-    """Who is there, kept from membership's events; safe from any thread.
+    """Tracks live instances from membership events; thread-safe.
 
-    It answers from what was heard last, without a call to any actor.
+    Answers from the last events received, without calling any actor.
     """
 
     def __init__(
         self, instance: ids.InstanceId, data_centre: ids.DataCentre
     ) -> None:
-        self._own = instance
+        self._instance = instance
         self._data_centre = data_centre
         self._lock = threading.Lock()
-        self._joined: dict[ids.InstanceId, messages.MemberJoined] = {}
+        self._members: dict[ids.InstanceId, messages.MemberJoined] = {}
         self._ended: dict[ids.InstanceId, ids.Incarnation] = {}
 
-    def join(self, event: messages.MemberJoined) -> None:
-        """Notes a member that is there, perhaps after it was thought lost."""
+    def record_joined(self, event: messages.MemberJoined) -> None:
+        """Records a live member, which may have been thought lost before."""
         with self._lock:
-            self._joined[event.instance] = event
+            self._members[event.instance] = event
             if self._ended.get(event.instance, 0) >= event.incarnation:
                 del self._ended[event.instance]
 
-    def end(self, instance: ids.InstanceId, incarnation: int) -> None:
-        """Notes that an incarnation was lost or left."""
+    def record_ended(self, instance: ids.InstanceId, incarnation: int) -> None:
+        """Records that an incarnation was lost or has left."""
         with self._lock:
             latest = max(self._ended.get(instance, 0), incarnation)
             self._ended[instance] = ids.Incarnation(latest)
-            joined = self._joined.get(instance)
-            if joined and joined.incarnation <= incarnation:
-                del self._joined[instance]
+            member = self._members.get(instance)
+            if member and member.incarnation <= incarnation:
+                del self._members[instance]
 
     def is_gone(
         self, instance: ids.InstanceId, incarnation: ids.Incarnation
     ) -> bool:
         """Returns whether this process is known to have ended."""
         with self._lock:
-            joined = self._joined.get(instance)
-            if joined and joined.incarnation > incarnation:
+            member = self._members.get(instance)
+            if member and member.incarnation > incarnation:
                 return True
             return incarnation <= self._ended.get(instance, 0)
 
-    def list_near(self) -> tuple[ids.InstanceId, ...]:
-        """Returns the instances of this data centre, this one included."""
+    def list_local(self) -> tuple[ids.InstanceId, ...]:
+        """Returns the instances in this data centre, including this one."""
         with self._lock:
-            near = {
+            local = {
                 name
-                for name, joined in self._joined.items()
-                if joined.data_centre == self._data_centre
+                for name, member in self._members.items()
+                if member.data_centre == self._data_centre
             }
-        return tuple(sorted(near | {self._own}))
+        return tuple(sorted(local | {self._instance}))
 
     def count(self) -> int:
-        """Returns how many instances are there, this one included."""
+        """Returns the number of live instances, including this one."""
         with self._lock:
-            return len(self._joined.keys() | {self._own})
+            return len(self._members.keys() | {self._instance})
 
     def find_address(self, instance: ids.InstanceId) -> str | None:
-        """Returns a member's peer address."""
+        """Returns the peer address of a member, if known."""
         with self._lock:
-            joined = self._joined.get(instance)
-        return joined.address if joined else None
+            member = self._members.get(instance)
+        return member.address if member else None
 
 
 class Router:
-    """Takes membership's events and tells each slice its part."""
+    """Forwards membership events to the components that need them."""
 
     def __init__(
         self,
         presence: Presence,
-        slots: scheduler.Scheduler,
+        slot_scheduler: scheduler.Scheduler,
         settings: settings_actor.Settings,
         endpoints: endpoints_actor.Endpoints,
     ) -> None:
         self._presence = presence
-        self._slots = slots
+        self._scheduler = slot_scheduler
         self._settings = settings
         self._endpoints = endpoints
 
     def publish(self, event: messages.Event) -> None:
-        """Hands one event on; returns at once."""
+        """Forwards one event without blocking."""
         match event:
             case messages.MemberJoined():
-                self._presence.join(event)
+                self._presence.record_joined(event)
             case messages.MemberLost() | messages.MemberLeft():
-                self._note_end(event)
+                self._record_ended(event)
             case messages.PressureHeard(pressure=pressure):
-                self._slots.report(pressure)
+                self._scheduler.report(pressure)
                 self._endpoints.hear_peer_leaving(
                     pressure.leaving, pressure.instance
                 )
@@ -119,18 +119,18 @@
                     )
                 )
 
-    def _note_end(
+    def _record_ended(
         self, event: messages.MemberLost | messages.MemberLeft
     ) -> None:
-        self._presence.end(event.instance, event.incarnation)
+        self._presence.record_ended(event.instance, event.incarnation)
         if self._presence.find_address(event.instance):
-            return  # A later incarnation is there already.
-        self._slots.report(dispatch_messages.PeerLost(event.instance))
+            return  # A later incarnation has already joined.
+        self._scheduler.report(dispatch_messages.PeerLost(event.instance))
         self._settings.report(settings_messages.PeerGone(event.instance))
 
 
-class Copies:
-    """Settings trees asked of peers, for when the platform is away."""
+class PeerSettings:
+    """Fetches settings trees from peers when the platform is unavailable."""
 
     def __init__(
         self, presence: Presence, membership: lifecycle.Membership
@@ -141,15 +141,15 @@
     def fetch(
         self, instance: ids.InstanceId
     ) -> result.Result[bytes, failures.Failure]:
-        """Returns the tree in force at a peer; blocks for some seconds."""
+        """Returns the tree in force at a peer; may block for seconds."""
         address = self._presence.find_address(instance)
         if address is None:
             return result.Err(NoPeer(detail=f"no address of {instance}"))
-        return self._membership.fetch_settings(address, _IN_FORCE)
+        return self._membership.fetch_settings(address, _LATEST)
 
 
 def add_leaving(
     pressure: dispatch_messages.Pressure, leaving: tuple[ids.EndpointId, ...]
 ) -> dispatch_messages.Pressure:
-    """Returns the pressure with the endpoints known to be leaving."""
+    """Returns a copy of the pressure that lists the leaving endpoints."""
     return msgspec.structs.replace(pressure, leaving=leaving)
--- a/pollenfork/views.py
+++ b/pollenfork/views.py
@@ -1,4 +1,4 @@
-"""What operators see of the instances and the endpoints."""
+"""Instances and endpoints as the operator API shows them."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
 
 
 class Instances:
-    """`operator.edges.Instances` from membership and the own settings."""
+    """Implements `operator.edges.Instances` from membership and settings."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         membership: lifecycle.Membership,
         settings: settings_actor.Settings,
     ) -> None:
-        self._own = instance
+        self._instance = instance
         self._membership = membership
         self._settings = settings
 
     def list_instances(self) -> tuple[operator_edges.InstanceReport, ...]:
-        """Returns every instance known."""
+        """Returns all known instances."""
         return tuple(
             self._report(view) for view in self._membership.list_members()
         )
@@ -39,7 +39,7 @@
         self, view: messages.MemberView
     ) -> operator_edges.InstanceReport:
         status = self._settings.read_status()
-        is_own = view.instance == self._own
+        is_own = view.instance == self._instance
         return operator_edges.InstanceReport(
             instance=view.instance,
             data_centre=view.data_centre,
@@ -51,7 +51,7 @@
 
 
 class Endpoints:
-    """`operator.edges.Endpoints` from the endpoints and the own slots."""
+    """Implements `operator.edges.Endpoints` from endpoints and slots."""
 
     def __init__(
         self,
@@ -66,21 +66,21 @@
             ids.EndpointId, dispatch_messages.EndpointReport
         ] = {}
 
-    def note(
+    def record(
         self,
-        news: dispatch_messages.EndpointReport
+        event: dispatch_messages.EndpointReport
         | dispatch_messages.EndpointNotice,
     ) -> None:
-        """Keeps an endpoint's last load report; from any thread."""
-        if isinstance(news, dispatch_messages.EndpointReport):
-            self._reports[news.endpoint] = news
+        """Stores the last load report of an endpoint; thread-safe."""
+        if isinstance(event, dispatch_messages.EndpointReport):
+            self._reports[event.endpoint] = event
 
     def list_endpoints(self) -> tuple[operator_edges.LiveEndpoint, ...]:
-        """Returns the endpoints of this data centre."""
+        """Returns the endpoints in this data centre."""
         in_flight: dict[ids.EndpointId, int] = {}
         for held in self._read_pressure().occupancies:
-            total = in_flight.get(held.endpoint, 0) + held.in_flight
-            in_flight[held.endpoint] = total
+            count = in_flight.get(held.endpoint, 0) + held.in_flight
+            in_flight[held.endpoint] = count
         return tuple(
             self._describe(view, in_flight.get(view.endpoint, 0))
             for view in self._endpoints.list_endpoints()
@@ -89,7 +89,7 @@
     def drain(
         self, endpoint: ids.EndpointId
     ) -> result.Result[None, failures.Failure]:
-        """Keeps the wish that the endpoint take no new work."""
+        """Stores a drain request: the endpoint gets no new work."""
         return self._endpoints.drain(endpoint)
 
     def _describe(
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -32,9 +32,9 @@
     scheduling: Any = Scheduler()
     served = server.ServerCounters()
     in_progress = progress.InProgress()
-    exposition.watch_relay(scraped, relayed)
-    exposition.watch_scheduler(scraped, scheduling)
-    exposition.watch_entry(scraped, in_progress, served)
+    exposition.register_relay(scraped, relayed)
+    exposition.register_scheduler(scraped, scheduling)
+    exposition.register_entry(scraped, in_progress, served)
 
     for number in (1, 2):
         relayed.count(relayed.cancels, "caller_gone")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -95,14 +95,14 @@
     assert told.presence.is_gone(PEER, 5) is five_ended
     assert told.presence.is_gone(PEER, 6) is six_ended
     near = (OWN, PEER) if address else (OWN,)
-    assert told.presence.list_near() == near
+    assert told.presence.list_local() == near
     assert told.presence.count() == len(near)
 
 
 def test_members_of_other_data_centres_are_counted_but_not_near():
     told = Told()
     told.publish(join(5, "far-1", "b"), join(5))
-    assert told.presence.list_near() == (OWN, PEER)
+    assert told.presence.list_local() == (OWN, PEER)
     assert told.presence.count() == 3
 
 
@@ -201,7 +201,7 @@
 
 def test_an_unknown_number_of_instances_leaves_the_share_of_the_design_size():
     app = application.Application(make_config(), clock.SystemClock())
-    app._keep_house()
+    app._run_housekeeping()
     design = budget.Budgets(0.0)
     assert app.platform.budget.keyed.share == design.keyed.share
 
@@ -225,14 +225,14 @@
     settings = make_config(peers=(peer.membership.address,))
     former = application.Application(settings, SkewedClock(3600.0))
     former.start()
-    sites.wait_until(lambda: OWN in peer._presence.list_near())
+    sites.wait_until(lambda: OWN in peer._presence.list_local())
     earlier = former.membership.incarnation
     former.stop()
-    sites.wait_until(lambda: OWN not in peer._presence.list_near())
+    sites.wait_until(lambda: OWN not in peer._presence.list_local())
     restarted = application.Application(settings, clock.SystemClock())
     restarted.start()
-    sites.wait_until(lambda: OWN in peer._presence.list_near())
-    owner = restarted._find_owner()
+    sites.wait_until(lambda: OWN in peer._presence.list_local())
+    owner = restarted._get_owner()
     assert owner.incarnation > earlier
     assert peer._presence.is_gone(OWN, earlier)
     assert not peer._presence.is_gone(OWN, owner.incarnation)
