--- a/pollenfork/__main__.py
+++ b/pollenfork/__main__.py
@@ -1,23 +1,23 @@
-"""The program's entry point."""
+"""Entry point of the program."""
 
 import os
 import sys
 
 
 def main() -> None:
-    """Runs the process's command line and exits with its status."""
+    """Runs the command line of the process and exits with its status."""
     from pollenfork import context
     from pollenfork import core
 
     try:
-        ended = int(core.main(sys.argv[1:], context.Environment()))
+        status = int(core.main(sys.argv[1:], context.Environment()))
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever reads has enough, as `head` does. The interpreter flushes
-        # once more as it ends, and must not meet the closed pipe again.
+        # The reader closed the pipe early, as `head` does. The interpreter
+        # flushes stdout again at exit, so point it at a valid descriptor.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        ended = 1
-    sys.exit(ended)
+        status = 1
+    sys.exit(status)
 
 
 if __name__ == "__main__":
--- a/pollenfork/clock.py
+++ b/pollenfork/clock.py
@@ -1,4 +1,4 @@
-"""Time as an injected value, so that tests pause and advance it."""
+"""Injectable clocks, so that tests can stop and advance time."""
 
 import threading
 import time
@@ -9,10 +9,11 @@
     """A source of time."""
 
     def monotonic(self) -> float:
-        """Returns seconds that never go back, from an arbitrary origin.
+        """Returns seconds that never decrease, from an arbitrary origin.
 
-        They go on while the machine is suspended: a lease given for 3 s
-        has run out after a suspension of 5 s, whatever its holder has seen.
+        Time also passes while the machine is suspended: a lease granted for
+        3 s has expired after a suspension of 5 s, even if its holder did not
+        notice.
         """
 
     def wall(self) -> float:
@@ -20,24 +21,24 @@
 
 
 def read_boottime() -> float:
-    """Returns seconds since the machine started, suspension included."""
+    """Returns the seconds since boot, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The system clock."""
 
     def monotonic(self) -> float:
-        """Returns the machine's seconds, suspension included."""
+        """Returns the seconds since boot, including time suspended."""
         return read_boottime()
 
     def wall(self) -> float:
-        """Returns the machine's Unix time in seconds."""
+        """Returns the Unix time in seconds."""
         return time.time()
 
 
 class ManualClock:
-    """A clock that stands still until a test advances it."""
+    """A clock that only moves when a test advances it."""
 
     def __init__(self, wall: float = 1_700_000_000.0) -> None:
         self._lock = threading.Lock()
@@ -50,12 +51,12 @@
             return self._monotonic
 
     def wall(self) -> float:
-        """Returns the Unix time set at the start plus the seconds advanced."""
+        """Returns the initial Unix time plus the seconds advanced."""
         with self._lock:
             return self._wall
 
     def advance(self, seconds: float) -> None:
-        """Moves both readings forward by `seconds`."""
+        """Advances both clocks by `seconds`."""
         with self._lock:
             self._monotonic += seconds
             self._wall += seconds
--- a/pollenfork/config.py
+++ b/pollenfork/config.py
@@ -1,4 +1,4 @@
-"""The settings file of one process: who it is, where it listens."""
+"""The settings file of a process: its identity and addresses."""
 
 import pathlib
 from typing import Annotated, TypeVar
@@ -14,27 +14,30 @@
 
 
 class BadSettingsFile(failures.Failure, frozen=True, kw_only=True):
-    """The file is missing, isn't JSON, or breaks a rule; `detail` says."""
+    """The file is missing, isn't valid JSON, or fails validation."""
 
 
 class EntryConfig(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """One entry instance.
+    """Settings of one entry instance.
 
     Addresses are `host:port`.
 
     Attributes:
-        listen: Where callers and operators connect.
-        peer_listen: Where the other entry instances connect.
-        peers: Peer addresses to try besides those in the platform's list.
-        platform: The platform's table, objects, instance list and weights.
-        streams: Answers relayed at once; a caller beyond is refused at once.
-        waiting: Requests that may wait for a slot.
-        body_limit: Bytes of a request's body.
-        stop_limit_s: The longest wait for requests in progress at a stop.
-        operator_sha256: Digests of operator tokens bound to everything: they
-            write the first tree and undo a lock-out.
+        listen: Address for callers and operators.
+        peer_listen: Address for the other entry instances.
+        peers: Peer addresses to try besides those that the platform lists.
+        platform: Address of the platform, which holds the table, the objects,
+            the instance list and the weights.
+        streams: Maximum number of answers relayed concurrently; further
+            requests are refused immediately.
+        waiting: Maximum number of requests waiting for a slot.
+        body_limit: Maximum size of a request body, in bytes.
+        stop_limit_s: How long shutdown waits for requests in progress.
+        operator_sha256: SHA-256 digests of operator tokens with access to all
+            settings. They are needed to write the first tree and to recover
+            from a lock-out.
     """
 
     instance: ids.InstanceId
@@ -53,7 +56,7 @@
 def read_file(
     path: pathlib.Path, kind: type[T]
 ) -> result.Result[T, BadSettingsFile]:
-    """Returns the file's content as `kind`, validated."""
+    """Reads the file and returns its content, validated, as `kind`."""
     try:
         return result.Ok(msgspec.json.decode(path.read_bytes(), type=kind))
     except OSError as error:
--- a/pollenfork/context.py
+++ b/pollenfork/context.py
@@ -1,4 +1,4 @@
-"""What a command may touch of its surroundings."""
+"""The environment that a command runs in."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass
 class Environment:
-    """Streams and variables of one run; tests put their own in.
+    """Streams and variables of one run; tests replace them.
 
     Attributes:
         variables: Environment variables.
-        stdout_is_terminal: Results are read by a person.
-        stderr_is_terminal: Progress is seen by a person.
+        stdout_is_terminal: Whether to format results for people.
+        stderr_is_terminal: Whether to show progress.
     """
 
     stdin: TextIO = dataclasses.field(default_factory=lambda: sys.stdin)
@@ -31,5 +31,5 @@
     )
 
     def fail(self, detail: str) -> None:
-        """Tells a person what went wrong, in one line."""
+        """Writes a one-line error message to stderr."""
         self.stderr.write(f"pollenfork: {detail}\n")
--- a/pollenfork/core.py
+++ b/pollenfork/core.py
@@ -1,4 +1,4 @@
-"""Runs one command line: parses it, then calls the command's behaviour."""
+"""Parses a command line and calls the function of its command."""
 
 from collections.abc import Sequence
 import pkgutil
@@ -15,7 +15,7 @@
 
 
 def main(args: Sequence[str], env: context.Environment) -> status.ExitStatus:
-    """Runs the command that `args` name, without the program's own name."""
+    """Runs the command given by `args`, which exclude the program name."""
     try:
         parsed = cappa.parse(
             definition.Pollenfork,
@@ -24,21 +24,23 @@
             completion=False,
             output=_make_output(env),
         )
-    except cappa.Exit as end:
+    except cappa.Exit as exit_request:
         return (
-            status.ExitStatus.USAGE if end.code else status.ExitStatus.SUCCESS
+            status.ExitStatus.USAGE
+            if exit_request.code
+            else status.ExitStatus.SUCCESS
         )
     logs.configure(env.stderr)
     command = _find_command(parsed)
-    behave = pkgutil.resolve_name(command.BEHAVIOUR)
+    run = pkgutil.resolve_name(command.BEHAVIOUR)
     try:
-        return status.ExitStatus(behave(command, env))
+        return status.ExitStatus(run(command, env))
     except KeyboardInterrupt:
         return status.ExitStatus.ERROR
 
 
 def _find_command(parsed: Any) -> Any:
-    """Returns the innermost command chosen."""
+    """Returns the innermost subcommand."""
     while hasattr(parsed, "command"):
         parsed = parsed.command
     return parsed
--- a/pollenfork/failures.py
+++ b/pollenfork/failures.py
@@ -1,4 +1,4 @@
-"""What every failure carries, whichever slice it comes from."""
+"""Base types of the failures of all packages."""
 
 import enum
 
@@ -6,10 +6,10 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of a request's effect.
+    """What is known about whether a request took effect.
 
-    `NOT_RUN` is claimed only with proof: the request was never sent, or the
-    endpoint refused it before it ran.
+    `NOT_RUN` requires proof: the request was never sent, or the endpoint
+    refused it before running it.
     """
 
     DONE = "done"
@@ -18,10 +18,10 @@
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of every failure type; each slice derives its own in `errors`.
+    """Base of all failures; each package has its own in its `errors` module.
 
     Attributes:
-        detail: One line for a person: what happened and what to do next.
+        detail: A one-line message: what happened and what to do about it.
     """
 
     detail: str = ""
--- a/pollenfork/ids.py
+++ b/pollenfork/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that travel between the slices."""
+"""Types of identifiers that several packages share."""
 
 from typing import NewType
 
@@ -13,11 +13,11 @@
 
 RequestId = NewType("RequestId", str)
 AttemptId = NewType("AttemptId", str)
-RequestDigest = NewType("RequestDigest", int)  # Alike for repeated requests.
+RequestDigest = NewType("RequestDigest", int)  # Equal for identical requests.
 WriteId = NewType("WriteId", str)
 
 Tier = NewType("Tier", int)  # 0 is the most urgent.
-Revision = NewType("Revision", int)  # Grows by one with each accepted write.
-Incarnation = NewType("Incarnation", int)  # Grows with each process start.
+Revision = NewType("Revision", int)  # Incremented by each accepted write.
+Incarnation = NewType("Incarnation", int)  # Increases with each process start.
 RunnerStart = NewType("RunnerStart", int)  # Unix ms of a runner's start.
-FencingNumber = NewType("FencingNumber", int)  # Grows with each lease holder.
+FencingNumber = NewType("FencingNumber", int)  # Increases per lease holder.
--- a/pollenfork/tables.py
+++ b/pollenfork/tables.py
@@ -1,4 +1,4 @@
-"""Tables on the standard output: rich on a terminal, else plain."""
+"""Writes tables: with rich on a terminal, otherwise as plain text."""
 
 from collections.abc import Iterable, Sequence
 from typing import TextIO
@@ -10,12 +10,12 @@
     out: TextIO,
     is_terminal: bool,
 ) -> None:
-    """Writes a table whose rows have a cell for each column."""
-    kept = list(rows)
+    """Writes a table; each row must have one cell per column."""
+    all_rows = list(rows)
     if is_terminal:
-        _write_rich(columns, kept, out)
+        _write_rich(columns, all_rows, out)
     else:
-        _write_plain([columns, *kept], out)
+        _write_plain([columns, *all_rows], out)
 
 
 def _write_plain(lines: Sequence[Sequence[str]], out: TextIO) -> None:
@@ -28,7 +28,7 @@
 def _write_rich(
     columns: Sequence[str], rows: Sequence[Sequence[str]], out: TextIO
 ) -> None:
-    # Only a terminal needs rich, and it is slow to import.
+    # Imported here because rich is slow to import and not always needed.
     import rich.console
     import rich.markup
     import rich.table
--- a/pollenfork/timers.py
+++ b/pollenfork/timers.py
@@ -1,4 +1,4 @@
-"""Periodic calls, driven by the injected clock."""
+"""Periodic calls, scheduled on an injected clock."""
 
 from collections.abc import Callable
 import heapq
@@ -9,14 +9,15 @@
 from pollenfork import clock
 
 _LOG = logging.getLogger(__name__)
-_LONGEST_WAIT_S = 1.0
+_MAX_WAIT_S = 1.0
 
 
 class Timers:
-    """Runs calls every so many seconds in one thread.
+    """Runs periodic calls in one thread.
 
-    Tests leave the thread out, advance a `ManualClock` and call `run_due`.
-    A call must be short: it usually sends one message to an actor.
+    Tests don't start the thread; they advance a `ManualClock` and call
+    `run_due`. Calls must be short, as they delay each other; most only send a
+    message to an actor.
     """
 
     def __init__(self, now: clock.Clock) -> None:
@@ -31,7 +32,7 @@
     def every(
         self, period_s: float, call: Callable[[], None], first_s: float = 0.0
     ) -> None:
-        """Runs `call` after `first_s` seconds, then each `period_s`."""
+        """Runs `call` after `first_s` seconds, then every `period_s`."""
         due = self._clock.monotonic() + first_s
         with self._lock:
             entry = (due, next(self._order), period_s, call)
@@ -39,9 +40,9 @@
         self._changed.set()
 
     def run_due(self) -> None:
-        """Runs every call whose time has come, once each."""
+        """Runs each call that is due, once."""
         now = self._clock.monotonic()
-        for call in self._take_due(now):
+        for call in self._pop_due(now):
             try:
                 call()
             except Exception:
@@ -55,35 +56,35 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread; calls that are due no longer run."""
+        """Stops the thread; calls that are still due are not run."""
         self._stopped = True
         self._changed.set()
         if self._thread:
             self._thread.join()
 
-    def _take_due(self, now: float) -> list[Callable[[], None]]:
+    def _pop_due(self, now: float) -> list[Callable[[], None]]:
         calls = []
         with self._lock:
             while self._due and self._due[0][0] <= now:
                 due, _, period_s, call = heapq.heappop(self._due)
                 calls.append(call)
-                after = due + period_s
-                if after <= now:
-                    after = now + period_s  # Missed periods are skipped.
-                entry = (after, next(self._order), period_s, call)
+                next_due = due + period_s
+                if next_due <= now:
+                    next_due = now + period_s  # Skip missed periods.
+                entry = (next_due, next(self._order), period_s, call)
                 heapq.heappush(self._due, entry)
         return calls
 
     def _run(self) -> None:
         while not self._stopped:
             self.run_due()
-            self._changed.wait(self._find_wait())
+            self._changed.wait(self._compute_wait())
             self._changed.clear()
 
-    def _find_wait(self) -> float:
+    def _compute_wait(self) -> float:
         """Returns the seconds until the next call is due."""
         with self._lock:
             if not self._due:
-                return _LONGEST_WAIT_S
-            left = self._due[0][0] - self._clock.monotonic()
-        return min(max(left, 0.0), _LONGEST_WAIT_S)
+                return _MAX_WAIT_S
+            remaining = self._due[0][0] - self._clock.monotonic()
+        return min(max(remaining, 0.0), _MAX_WAIT_S)
