--- a/pollenfork/logbook/tests/test_lines.py
+++ b/pollenfork/logbook/tests/test_lines.py
@@ -39,12 +39,12 @@
 
 
 def test_external_value_cannot_inject_fields() -> None:
-    forged = logs.write_value('x" event=answered request=other')
-    assert logs.write_value("9c41d07be2a35f68") == "9c41d07be2a35f68"
+    forged = logs.quote_value('x" event=answered request=other')
+    assert logs.quote_value("9c41d07be2a35f68") == "9c41d07be2a35f68"
     line = parse(TEXT.replace("request=q", f"request={forged}"))[0]
     assert line.event == "refused"
     assert line.fields["request"] == 'x" event=answered request=other'
 
 
 def test_external_value_is_truncated() -> None:
-    assert len(logs.write_value("x" * 100_000)) == 120
+    assert len(logs.quote_value("x" * 100_000)) == 120
