--- a/pollenfork/endpoints/errors.py
+++ b/pollenfork/endpoints/errors.py
@@ -1,4 +1,4 @@
-"""Failures of this package, besides those of its interfaces."""
+"""Failures of this package, besides those in `edges`."""
 
 from pollenfork import failures
 from pollenfork.endpoints import edges
--- a/pollenfork/endpoints/health.py
+++ b/pollenfork/endpoints/health.py
@@ -32,7 +32,7 @@
         self.state: _State | None = None
         self.leaving_sources: set[_Source] = set()
         self.last_answer_at = _NEVER
-        self._probed_at = _NEVER  # When the latest answered probe was sent.
+        self._probed_at = _NEVER  # When the latest completed probe was sent.
         self._ready_answers = 0
         self._failures = 0
         self._failing_since = _NEVER
