--- a/benchmarks/peer_exchange.py
+++ b/benchmarks/peer_exchange.py
@@ -19,8 +19,8 @@
 
 from pollenfork import ids
 from pollenfork.membership import core
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import periods
 from pollenfork.membership import transport
 from pollenfork.membership import wire
@@ -36,7 +36,7 @@
 def build_core(data_centre: str) -> core.Core:
     """Returns the core of an instance that knows its whole data centre."""
     made = core.Core(
-        own.Identity(
+        local_member.Identity(
             ids.InstanceId(f"{data_centre}-entry-00"),
             ids.DataCentre(data_centre),
             "10.1.2.100:7001",
@@ -56,7 +56,7 @@
             status=messages.MemberStatus.LIVE,
             revision=ids.Revision(670),
         )
-        made.hear_heartbeat(heartbeat, f"10.1.2.{100 + number}:7001", 0.0)
+        made.receive_heartbeat(heartbeat, f"10.1.2.{100 + number}:7001", 0.0)
     return made
 
 
@@ -72,7 +72,7 @@
 
     def serve_exchange(self, body: bytes) -> transport.Answer:
         """Takes in and answers as the actor does."""
-        self._core.summaries.hear(wire.decode_summary(body).unwrap(), 0.0)
+        self._core.summaries.receive(wire.decode_summary(body).unwrap(), 0.0)
         return result.Ok(wire.encode(self._core.summaries.compose(0.0)))
 
     def serve_settings(self, revision: ids.Revision) -> transport.Answer:
@@ -117,7 +117,7 @@
 
     def take(answer: transport.Answer) -> None:
         summary = wire.decode_summary(answer.unwrap()).unwrap()
-        near.summaries.hear(summary, 0.0)
+        near.summaries.receive(summary, 0.0)
         done.set()
 
     client.exchange(address, wire.encode(near.summaries.compose(0.0)), take)
--- a/benchmarks/peer_failure.py
+++ b/benchmarks/peer_failure.py
@@ -20,8 +20,8 @@
 _JOIN_S = 20.0
 _PERIOD_S = periods.compute_heartbeat_s(MEMBERS)
 _REMOVED_S = (
-    2 * periods.compute_silence_s(_PERIOD_S)
-    + periods.compute_removal_s(_PERIOD_S)
+    2 * periods.compute_silence_timeout_s(_PERIOD_S)
+    + periods.compute_removal_timeout_s(_PERIOD_S)
     + 1.0
 )
 _HEALED_S = 5.0
--- a/benchmarks/peer_ways.py
+++ b/benchmarks/peer_ways.py
@@ -52,9 +52,9 @@
     encoder = pressures.PressureEncoder()
     bodies = []
     for step in range(_STEPS):
-        body = encoder.encode_change(load.advance(period_s), step * period_s)
+        body = encoder.encode_delta(load.advance(period_s), step * period_s)
         if whole or step == 0:
-            body = encoder.encode_whole()
+            body = encoder.encode_full()
         bodies.append(
             wire.encode(
                 wire.Heartbeat(
--- a/pollenfork/membership/actor.py
+++ b/pollenfork/membership/actor.py
@@ -156,7 +156,7 @@
         if now + self._edges.datagrams.tick_s / 2 >= self._core.heartbeat_at:
             pressure = self._edges.read_pressure()
             revision = self._edges.read_revision()
-            self._carry_out(self._core.beat(now, pressure, revision))
+            self._carry_out(self._core.send_heartbeat(now, pressure, revision))
             period_s = self._core.period_s
             ticks = math.ceil(period_s / _TICK_MAX_S)
             self._edges.datagrams.tick_s = period_s / ticks
@@ -164,7 +164,7 @@
     def _hear_datagram(self, body: bytes, address: str, now: float) -> None:
         match wire.decode_heartbeat(body):
             case result.Ok(heartbeat):
-                found = self._core.hear_heartbeat(heartbeat, address, now)
+                found = self._core.receive_heartbeat(heartbeat, address, now)
                 self._carry_out(found)
             case result.Err(failure):
                 self._count(failure, address)
@@ -173,13 +173,13 @@
         answer = message.answer.and_then(wire.decode_heartbeat)
         if answer.is_err():
             self._count(answer.unwrap_err(), message.instance)
-        found = self._core.hear_state(message.instance, answer.ok(), now)
+        found = self._core.receive_state(message.instance, answer.ok(), now)
         self._carry_out(found)
 
     def _hear_summary(self, message: SummaryAnswered, now: float) -> None:
         match message.answer.and_then(wire.decode_summary):
             case result.Ok(summary):
-                self._carry_out(self._core.summaries.hear(summary, now))
+                self._carry_out(self._core.summaries.receive(summary, now))
             case result.Err(failure):
                 self._count(failure, message.address)
 
@@ -187,14 +187,14 @@
         self._fetching = False
         match listed:
             case result.Ok(instances):
-                self._core.hear_list(instances)
+                self._core.receive_list(instances)
             case result.Err(failure):
                 self._count(failure, "platform")
 
     def _serve_exchange(self, body: bytes, now: float) -> transport.Answer:
         match wire.decode_summary(body):
             case result.Ok(summary):
-                self._carry_out(self._core.summaries.hear(summary, now))
+                self._carry_out(self._core.summaries.receive(summary, now))
                 answer = self._core.summaries.compose(now)
                 return result.Ok(wire.encode(answer))
             case result.Err(failure):
--- a/pollenfork/membership/core.py
+++ b/pollenfork/membership/core.py
@@ -11,15 +11,15 @@
 from pollenfork import ids
 from pollenfork.dispatch import messages as dispatch_messages
 from pollenfork.membership import actions
-from pollenfork.membership import contacts
-from pollenfork.membership import fetches
+from pollenfork.membership import discovery
+from pollenfork.membership import fetch_limiter
+from pollenfork.membership import leaving_notices
+from pollenfork.membership import liveness
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import notices
-from pollenfork.membership import own
 from pollenfork.membership import periods
 from pollenfork.membership import pressures
 from pollenfork.membership import roster
-from pollenfork.membership import signs
 from pollenfork.membership import summaries
 from pollenfork.membership import targets
 from pollenfork.membership import wire
@@ -39,25 +39,25 @@
 
     def __init__(
         self,
-        identity: own.Identity,
+        identity: local_member.Identity,
         incarnation: ids.Incarnation,
         rng: random.Random,
         now: float,
         seeds: tuple[str, ...] = (),
     ) -> None:
-        self._me = own.Own(identity, incarnation)
+        self._me = local_member.LocalMember(identity, incarnation)
         self._rng = rng
         self._roster = roster.Roster()
-        self._contacts = contacts.Contacts(
+        self._contacts = discovery.Discovery(
             identity.address, identity.data_centre, seeds
         )
         self._targets = targets.Targets(
             self._me, self._roster, self._contacts, now
         )
-        self._notices = notices.Notices()
+        self._notices = leaving_notices.LeavingNotices()
         self._encoder = pressures.PressureEncoder()
-        self._answers: dict[ids.InstanceId, wire.Note] = {}
-        self._fetches = fetches.Fetches()
+        self._answers: dict[ids.InstanceId, wire.MemberUpdate] = {}
+        self._fetches = fetch_limiter.FetchLimiter()
         self._ticked_at = now
         self._heartbeat_at = now
         self._list_at = now
@@ -92,19 +92,19 @@
             return []
         gap = now - self._ticked_at
         if gap > _PAUSE_S:
-            self._roster.excuse(gap)
+            self._roster.discount_pause(gap)
         self._ticked_at = now
         found = _publish(self._roster.check_silence(now))
         self._me.members = 1 + sum(m.present for m in self._local_members())
         found.extend(self.summaries.start_due(now))
         if now >= self._list_at:
             self._list_at = now + LIST_PERIOD_S * self._rng.uniform(0.8, 1.2)
-            self._roster.forget(now - _FORGET_S)
-            self._notices.forget(now)
+            self._roster.expire(now - _FORGET_S)
+            self._notices.expire(now)
             found.append(actions.FetchList())
         return found
 
-    def beat(
+    def send_heartbeat(
         self,
         now: float,
         pressure: dispatch_messages.Pressure,
@@ -114,13 +114,13 @@
         if self._me.left:
             return []
         self._me.revision = revision
-        self._notices.hear(pressure.leaving, now, remote=False)
-        body = self._encoder.encode_change(pressure, now)
+        self._notices.record(pressure.leaving, now, remote=False)
+        body = self._encoder.encode_delta(pressure, now)
         self._me.sequence += 1
         self._last = self._compose(body, now)
         self._answers.clear()
         self._heartbeat_at = max(self._heartbeat_at + self.period_s, now)
-        return self._targets.address(self._last, self.period_s, now)
+        return self._targets.plan_sends(self._last, self.period_s, now)
 
     def leave(self, now: float) -> list[actions.Action]:
         """Says goodbye, twice because datagrams get lost; nothing follows."""
@@ -131,11 +131,11 @@
         for _ in range(2):
             self._me.sequence += 1
             self._last = self._compose(b"", now)
-            everyone = self._targets.choose(now)
+            everyone = self._targets.list_addresses(now)
             found.append(actions.SendHeartbeat(everyone, self._last))
         return found + self.summaries.start_round(now)
 
-    def hear_heartbeat(
+    def receive_heartbeat(
         self, heartbeat: wire.Heartbeat, address: str, now: float
     ) -> list[actions.Action]:
         """Takes in a heartbeat; `address` is where it came from."""
@@ -145,8 +145,8 @@
             return []
         if heartbeat.data_centre != self._me.identity.data_centre:
             return []
-        newer, events = self._roster.hear(
-            signs.read_heartbeat(heartbeat, address), now
+        newer, events = self._roster.receive(
+            liveness.from_heartbeat(heartbeat, address), now
         )
         found = _publish(events)
         member = self._roster.find(heartbeat.instance)
@@ -174,9 +174,9 @@
             instance=member.instance,
             data_centre=member.data_centre,
         )
-        return self.hear_heartbeat(named, address, now)
+        return self.receive_heartbeat(named, address, now)
 
-    def hear_state(
+    def receive_state(
         self,
         instance: ids.InstanceId,
         heartbeat: wire.Heartbeat | None,
@@ -200,16 +200,16 @@
             found.extend(self._hear_note(note, now))
         return found
 
-    def hear_list(self, listed: Iterable[edges.ListedInstance]) -> None:
+    def receive_list(self, listed: Iterable[edges.ListedInstance]) -> None:
         """Takes in the platform's list, however stale it may be."""
-        self._contacts.take_list(listed)
+        self._contacts.set_listed(listed)
 
     def compose_state(self) -> wire.Heartbeat:
         """Returns the last heartbeat with all pressure and all members."""
         members = self._local_members()
         return msgspec.structs.replace(
             self._last,
-            pressure=self._encoder.encode_whole(),
+            pressure=self._encoder.encode_full(),
             notes=tuple(m.compose_note() for m in members if m.present),
         )
 
@@ -238,7 +238,7 @@
             leaving=self._notices.list_relayed(now),
         )
 
-    def _compose_notes(self, now: float) -> list[wire.Note]:
+    def _compose_notes(self, now: float) -> list[wire.MemberUpdate]:
         notes = list(self._answers.values())
         for member in self._local_members():
             recent = now - member.changed_at < 2 * self.period_s
@@ -264,7 +264,7 @@
         if stale or (same and member.status is _Status.LEFT):
             member.strange_at = now
             self._answers[member.instance] = member.compose_note()
-            self._contacts.ask_at_once(address, now)
+            self._contacts.probe_now(address, now)
 
     def _hear_pressure(
         self, member: roster.Member, heartbeat: wire.Heartbeat, now: float
@@ -307,7 +307,7 @@
     ) -> list[actions.Action]:
         if not endpoints:
             return []
-        news = self._notices.hear(endpoints, now, remote=remote)
+        news = self._notices.record(endpoints, now, remote=remote)
         return _publish(
             messages.EndpointLeavingHeard(
                 endpoint=endpoint, heard_from=member.instance
@@ -315,9 +315,11 @@
             for endpoint in news
         )
 
-    def _hear_note(self, note: wire.Note, now: float) -> list[actions.Action]:
+    def _hear_note(
+        self, note: wire.MemberUpdate, now: float
+    ) -> list[actions.Action]:
         if note.instance == self._me.identity.instance:
-            self._me.hear_note(note)
+            self._me.receive_update(note)
             return []
         member = self._roster.find(note.instance)
         unheard = member is None or note.incarnation > member.incarnation
@@ -336,7 +338,9 @@
         self._refute_for(member, note)
         return []
 
-    def _refute_for(self, member: roster.Member, note: wire.Note) -> None:
+    def _refute_for(
+        self, member: roster.Member, note: wire.MemberUpdate
+    ) -> None:
         if member.status is not _Status.LIVE:
             return
         if member.known_sequence > note.sequence and self._is_chosen():
--- a/pollenfork/membership/contacts.py
+++ b/pollenfork/membership/discovery.py
@@ -10,7 +10,7 @@
 _HINT_S = 60.0
 
 
-class Contacts:
+class Discovery:
     """Addresses from the platform's list, from seeds and from peers' notes.
 
     A hint makes this instance send heartbeats there; only an answer makes a
@@ -27,7 +27,7 @@
         self._hints: dict[str, float] = {}
         self._probed: dict[str, float] = {}
 
-    def take_list(self, listed: Iterable[edges.ListedInstance]) -> None:
+    def set_listed(self, listed: Iterable[edges.ListedInstance]) -> None:
         """Replaces the hints of the platform's earlier list."""
         self._listed = {
             entry.address: entry.data_centre
@@ -41,12 +41,12 @@
         if address != self._own:
             self._hints[address] = now + _HINT_S
 
-    def ask_at_once(self, address: str, now: float) -> None:
+    def probe_now(self, address: str, now: float) -> None:
         """Makes the address due for the next heartbeat, which answers it."""
         self.add_hint(address, now)
         self._probed.pop(address, None)
 
-    def take_due(self, known: set[str], now: float) -> list[str]:
+    def take_due_probes(self, known: set[str], now: float) -> list[str]:
         """Returns addresses to probe now, each at most every two seconds.
 
         Args:
--- a/pollenfork/membership/fetches.py
+++ b/pollenfork/membership/fetch_limiter.py
@@ -5,7 +5,7 @@
 _LIMIT = 4
 
 
-class Fetches:
+class FetchLimiter:
     """Leave to fetch; when many members start at once, most wait.
 
     A member that gets no leave is asked about again with its next heartbeat.
--- a/pollenfork/membership/notices.py
+++ b/pollenfork/membership/leaving_notices.py
@@ -14,7 +14,7 @@
     relay_until: float
 
 
-class Notices:
+class LeavingNotices:
     """Passes notices on between data centres without a loop.
 
     What is heard inside goes out in summaries; what comes in with a summary
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._notices: dict[ids.EndpointId, _Notice] = {}
 
-    def hear(
+    def record(
         self,
         endpoints: tuple[ids.EndpointId, ...],
         now: float,
@@ -54,7 +54,7 @@
                 notice.local_at = now
         return news
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drops notices that nobody repeats; a later one is news again."""
         old = [
             endpoint
--- a/pollenfork/membership/lifecycle.py
+++ b/pollenfork/membership/lifecycle.py
@@ -15,8 +15,8 @@
 from pollenfork.membership import core
 from pollenfork.membership import datagrams
 from pollenfork.membership import errors
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import transport
 from pollenfork.store import edges
 
@@ -89,7 +89,7 @@
             OSError: The address is taken.
         """
         self.address = self._bind()
-        identity = own.Identity(
+        identity = local_member.Identity(
             self._settings.instance, self._settings.data_centre, self.address
         )
         membership = core.Core(
--- a/pollenfork/membership/signs.py
+++ b/pollenfork/membership/liveness.py
@@ -29,7 +29,7 @@
     removal_s: float
 
 
-def read_heartbeat(heartbeat: wire.Heartbeat, address: str) -> Evidence:
+def from_heartbeat(heartbeat: wire.Heartbeat, address: str) -> Evidence:
     """Returns what a heartbeat from `address` proves of its sender."""
     period_s = heartbeat.period_ms / 1000
     return Evidence(
@@ -41,12 +41,12 @@
         address=address,
         revision=heartbeat.revision,
         direct=True,
-        silence_s=periods.compute_silence_s(period_s),
-        removal_s=periods.compute_removal_s(period_s),
+        silence_s=periods.compute_silence_timeout_s(period_s),
+        removal_s=periods.compute_removal_timeout_s(period_s),
     )
 
 
-def read_entry(
+def from_summary_entry(
     entry: wire.Entry, data_centre: ids.DataCentre, period_s: float
 ) -> Evidence:
     """Returns what another data centre's summary says of a member.
@@ -65,6 +65,6 @@
         address=entry.note.address,
         revision=entry.revision,
         direct=False,
-        silence_s=periods.compute_silence_s(period_s),
-        removal_s=periods.compute_removal_s(period_s),
+        silence_s=periods.compute_silence_timeout_s(period_s),
+        removal_s=periods.compute_removal_timeout_s(period_s),
     )
--- a/pollenfork/membership/own.py
+++ b/pollenfork/membership/local_member.py
@@ -18,7 +18,7 @@
     address: str
 
 
-class Own(msgspec.Struct):
+class LocalMember(msgspec.Struct):
     """This instance's own entry; nobody else ever changes its status.
 
     Attributes:
@@ -38,9 +38,9 @@
         """Returns `LIVE` until this instance leaves."""
         return _Status.LEFT if self.left else _Status.LIVE
 
-    def compose_note(self) -> wire.Note:
+    def compose_note(self) -> wire.MemberUpdate:
         """Returns what a summary says of this instance."""
-        return wire.Note(
+        return wire.MemberUpdate(
             self.identity.instance,
             self.incarnation,
             self.sequence,
@@ -60,7 +60,7 @@
             heard_s_ago=0.0,
         )
 
-    def hear_note(self, note: wire.Note) -> None:
+    def receive_update(self, note: wire.MemberUpdate) -> None:
         """Takes a later incarnation when an earlier life seems later.
 
         Another live process of the same name at another address is left
--- a/pollenfork/membership/periods.py
+++ b/pollenfork/membership/periods.py
@@ -28,11 +28,11 @@
     return min(max(period_s, _SUMMARY_MIN_S), _SUMMARY_MAX_S)
 
 
-def compute_silence_s(period_s: float) -> float:
+def compute_silence_timeout_s(period_s: float) -> float:
     """Returns seconds of silence after which a member is suspected."""
     return max(_SILENCE_PERIODS * period_s, _SILENCE_MIN_S)
 
 
-def compute_removal_s(period_s: float) -> float:
+def compute_removal_timeout_s(period_s: float) -> float:
     """Returns seconds of suspicion after which a member is removed."""
     return max(_REMOVAL_PERIODS * period_s, _REMOVAL_MIN_S)
--- a/pollenfork/membership/pressures.py
+++ b/pollenfork/membership/pressures.py
@@ -26,7 +26,7 @@
 _Number = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
-class Difference(msgspec.Struct, frozen=True, array_like=True):
+class Delta(msgspec.Struct, frozen=True, array_like=True):
     """What changed since the base; with `whole`, since the empty state.
 
     Attributes:
@@ -47,7 +47,7 @@
     leaving: tuple[ids.EndpointId, ...] | None = None
 
 
-_DECODER = msgspec.msgpack.Decoder(Difference)
+_DECODER = msgspec.msgpack.Decoder(Delta)
 
 
 class _State:
@@ -68,7 +68,7 @@
         self._state = _State()
         self._now = 0
 
-    def encode_change(self, pressure: messages.Pressure, now: float) -> bytes:
+    def encode_delta(self, pressure: messages.Pressure, now: float) -> bytes:
         """Returns the difference to the last pressure encoded.
 
         Args:
@@ -84,7 +84,7 @@
         )
         demands = _find_demands(state, pressure, now)
         occupancies = _find_occupancies(state, pressure)
-        difference = Difference(
+        difference = Delta(
             whole=whole,
             now=self._now,
             demands=_flatten_demands(state.demands, demands, self._now),
@@ -106,11 +106,11 @@
         self._state = _State()
         return True
 
-    def encode_whole(self) -> bytes:
+    def encode_full(self) -> bytes:
         """Returns the last pressure encoded, for who has no base."""
         state = self._state
         return msgspec.msgpack.encode(
-            Difference(
+            Delta(
                 whole=True,
                 now=self._now,
                 demands=_flatten_demands({}, state.demands, self._now),
@@ -129,7 +129,7 @@
         self._instance = instance
         self._state = _State()
         self._slots: dict[int, messages.Occupancy] = {}
-        self._pending: dict[int, Difference] = {}
+        self._pending: dict[int, Delta] = {}
         self.sequence: int | None = None  # Of the pressure returned last.
 
     def apply(
@@ -149,7 +149,7 @@
             return result.Err(errors.Undecodable(detail=str(error)))
 
     def _apply(
-        self, sequence: int, difference: Difference
+        self, sequence: int, difference: Delta
     ) -> result.Result[messages.Pressure, errors.PeerFailure]:
         follows = self.sequence is not None and self.sequence == sequence - 1
         if not difference.whole and not follows:
@@ -170,7 +170,7 @@
         self.sequence = sequence
         return result.Ok(pressure)
 
-    def _update(self, difference: Difference) -> None:
+    def _update(self, difference: Delta) -> None:
         state = self._state
         _add_names(state.models, difference.models)
         _add_names(state.endpoints, difference.endpoints)
@@ -197,7 +197,7 @@
             leaving=self._state.leaving,
         )
 
-    def _keep(self, sequence: int, difference: Difference) -> None:
+    def _keep(self, sequence: int, difference: Delta) -> None:
         self._pending[sequence] = difference
         if len(self._pending) > _MAX_PENDING:
             del self._pending[min(self._pending)]
@@ -278,7 +278,7 @@
 
 
 def _update_demands(
-    cells: dict[int, tuple[int, int]], difference: Difference
+    cells: dict[int, tuple[int, int]], difference: Delta
 ) -> None:
     cell = 0
     numbers = iter(difference.demands)
@@ -293,7 +293,7 @@
 def _update_occupancies(
     slots: dict[int, messages.Occupancy],
     endpoints: tuple[ids.EndpointId, ...],
-    difference: Difference,
+    difference: Delta,
 ) -> None:
     """Replaces what changed; building all of them anew cost half the CPU."""
     cell = 0
--- a/pollenfork/membership/roster.py
+++ b/pollenfork/membership/roster.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from pollenfork import ids
+from pollenfork.membership import liveness
 from pollenfork.membership import messages
 from pollenfork.membership import pressures
-from pollenfork.membership import signs
 from pollenfork.membership import wire
 
 _Status = messages.MemberStatus
@@ -63,9 +63,9 @@
         """Whether the member counts: live, or suspected but not removed."""
         return self.status in _PRESENT
 
-    def compose_note(self) -> wire.Note:
+    def compose_note(self) -> wire.MemberUpdate:
         """Returns what this instance tells others of the member."""
-        return wire.Note(
+        return wire.MemberUpdate(
             self.instance,
             self.incarnation,
             self.known_sequence,
@@ -94,8 +94,8 @@
         """Yields every instance known, removed ones included."""
         return iter(self._members.values())
 
-    def hear(
-        self, evidence: signs.Evidence, now: float
+    def receive(
+        self, evidence: liveness.Evidence, now: float
     ) -> tuple[bool, list[messages.Event]]:
         """Takes in a sign of a member.
 
@@ -158,14 +158,14 @@
                 events.extend(self._lose(member, now))
         return events
 
-    def excuse(self, seconds: float) -> None:
+    def discount_pause(self, seconds: float) -> None:
         """Doesn't count time in which this instance itself was paused."""
         for member in self._members.values():
             member.heard_at += seconds
             if member.status is _Status.SUSPECTED:
                 member.changed_at += seconds
 
-    def forget(self, before: float) -> None:
+    def expire(self, before: float) -> None:
         """Drops those removed or left before a monotonic time."""
         old = [
             member.instance
@@ -177,7 +177,7 @@
             del self._members[instance]
 
     def _add(
-        self, evidence: signs.Evidence, now: float
+        self, evidence: liveness.Evidence, now: float
     ) -> list[messages.Event]:
         member = Member(
             instance=evidence.instance,
@@ -202,7 +202,7 @@
         return [_joined(member), *_take_revision(member, evidence)]
 
     def _advance(
-        self, member: Member, evidence: signs.Evidence, now: float
+        self, member: Member, evidence: liveness.Evidence, now: float
     ) -> tuple[bool, list[messages.Event]]:
         if member.status is _Status.LEFT:
             return False, []
@@ -243,7 +243,7 @@
         return [lost]
 
 
-def _is_newer(member: Member, evidence: signs.Evidence) -> bool:
+def _is_newer(member: Member, evidence: liveness.Evidence) -> bool:
     if evidence.direct:
         return evidence.sequence > member.sequence and (
             member.status is _Status.LIVE
@@ -255,7 +255,7 @@
 
 
 def _take_evidence(
-    member: Member, evidence: signs.Evidence, now: float
+    member: Member, evidence: liveness.Evidence, now: float
 ) -> None:
     if evidence.direct:
         member.sequence = evidence.sequence
@@ -267,7 +267,7 @@
 
 
 def _take_revision(
-    member: Member, evidence: signs.Evidence
+    member: Member, evidence: liveness.Evidence
 ) -> list[messages.Event]:
     if evidence.revision == member.revision:
         return []
--- a/pollenfork/membership/summaries.py
+++ b/pollenfork/membership/summaries.py
@@ -9,13 +9,13 @@
 
 from pollenfork import ids
 from pollenfork.membership import actions
-from pollenfork.membership import contacts
+from pollenfork.membership import discovery
+from pollenfork.membership import leaving_notices
+from pollenfork.membership import liveness
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import notices
-from pollenfork.membership import own
 from pollenfork.membership import periods
 from pollenfork.membership import roster
-from pollenfork.membership import signs
 from pollenfork.membership import wire
 
 _TOLD_S = 60.0
@@ -26,10 +26,10 @@
 
     def __init__(
         self,
-        me: own.Own,
+        me: local_member.LocalMember,
         members: roster.Roster,
-        addresses: contacts.Contacts,
-        leaving: notices.Notices,
+        addresses: discovery.Discovery,
+        leaving: leaving_notices.LeavingNotices,
         rng: random.Random,
         now: float,
     ) -> None:
@@ -37,7 +37,7 @@
         self._members = members
         self._contacts = addresses
         self._notices = leaving
-        self._corrections: dict[ids.InstanceId, wire.Note] = {}
+        self._corrections: dict[ids.InstanceId, wire.MemberUpdate] = {}
         self._rng = rng
         self._due_at = now + rng.random() * self.period_s
 
@@ -87,22 +87,26 @@
             corrections,
         )
 
-    def hear(self, summary: wire.Summary, now: float) -> list[actions.Action]:
+    def receive(
+        self, summary: wire.Summary, now: float
+    ) -> list[actions.Action]:
         """Takes in what another data centre says of its members."""
         if self._is_local(summary.data_centre):
             return []
         events: list[messages.Event] = []
         for entry in summary.entries:
             if self._may_tell(entry.note.instance):
-                evidence = signs.read_entry(
+                evidence = liveness.from_summary_entry(
                     entry, summary.data_centre, self.period_s
                 )
-                events.extend(self._members.hear(evidence, now)[1])
+                events.extend(self._members.receive(evidence, now)[1])
                 self._correct(entry.note)
         for note in summary.corrections:
             if note.instance == self._me.identity.instance:
-                self._me.hear_note(note)
-        news = self._notices.hear(summary.leaving, now, remote=True, relay=True)
+                self._me.receive_update(note)
+        news = self._notices.record(
+            summary.leaving, now, remote=True, relay=True
+        )
         events.extend(
             messages.EndpointLeavingHeard(
                 endpoint=endpoint, heard_from=summary.instance
@@ -111,7 +115,7 @@
         )
         return [actions.Publish(event) for event in events]
 
-    def _correct(self, note: wire.Note) -> None:
+    def _correct(self, note: wire.MemberUpdate) -> None:
         """Notes a restarted member whose clock fell back."""
         member = self._members.find(note.instance)
         if member and note.incarnation < member.incarnation:
--- a/pollenfork/membership/targets.py
+++ b/pollenfork/membership/targets.py
@@ -4,9 +4,9 @@
 
 from pollenfork import ids
 from pollenfork.membership import actions
-from pollenfork.membership import contacts
+from pollenfork.membership import discovery
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import roster
 from pollenfork.membership import wire
 
@@ -21,9 +21,9 @@
 
     def __init__(
         self,
-        me: own.Own,
+        me: local_member.LocalMember,
         members: roster.Roster,
-        addresses: contacts.Contacts,
+        addresses: discovery.Discovery,
         now: float,
     ) -> None:
         self._me = me
@@ -33,26 +33,26 @@
         self._incarnation = me.incarnation
         self._named_until = _SETTLED_PERIODS  # A sequence.
 
-    def choose(self, now: float) -> tuple[str, ...]:
+    def list_addresses(self, now: float) -> tuple[str, ...]:
         """Returns every address that the next heartbeat goes to."""
         members = self._list_local()
         present = {member.address for member in members if member.present}
         found = sorted(present)
-        found.extend(self._contacts.take_due(present, now))
+        found.extend(self._contacts.take_due_probes(present, now))
         if now - self._probed_lost_at >= _LOST_PROBE_S:
             self._probed_lost_at = now
             lost = {m.address for m in members if m.status is _Status.LOST}
             found.extend(sorted(lost - set(found)))
         return tuple(found)
 
-    def address(
+    def plan_sends(
         self, heartbeat: wire.Heartbeat, period_s: float, now: float
     ) -> list[actions.Action]:
         """Leaves the names out towards members that must know them by now.
 
         Each eighth heartbeat has them for all, should that be wrong.
         """
-        everyone = self.choose(now)
+        everyone = self.list_addresses(now)
         settled = self._list_settled(now - _SETTLED_PERIODS * period_s)
         short = tuple(a for a in everyone if a in settled)
         if not short or self._needs_names():
--- a/pollenfork/membership/tests/network.py
+++ b/pollenfork/membership/tests/network.py
@@ -8,8 +8,8 @@
 from pollenfork.dispatch import messages as dispatch_messages
 from pollenfork.membership import actions
 from pollenfork.membership import core
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import wire
 from pollenfork.store import edges
 
@@ -81,7 +81,9 @@
         node = self.nodes[name]
         wall_ms = (1_000_000 + self.now + skew_s) * 1000
         node.core = core.Core(
-            own.Identity(ids.InstanceId(name), node.data_centre, node.address),
+            local_member.Identity(
+                ids.InstanceId(name), node.data_centre, node.address
+            ),
             ids.Incarnation(int(wall_ms)),
             random.Random(self.rng.random()),
             self.now,
@@ -120,7 +122,7 @@
                         self._send(node.address, address, body)
                 case actions.FetchList():
                     assert node.core
-                    node.core.hear_list(
+                    node.core.receive_list(
                         entry
                         for entry in self.listed
                         if node.knows is None or entry.name in node.knows
@@ -133,7 +135,7 @@
         if node is None or node.core is None:
             return
         heartbeat = wire.decode_heartbeat(packet.body).unwrap()
-        found = node.core.hear_heartbeat(heartbeat, packet.source, self.now)
+        found = node.core.receive_heartbeat(heartbeat, packet.source, self.now)
         self.carry_out(node, found)
 
     def _tick(self, node: Node) -> None:
@@ -153,7 +155,7 @@
                 leaving=node.leaving,
             )
             node.sent.append(pressure)
-            found = node.core.beat(self.now, pressure, node.revision)
+            found = node.core.send_heartbeat(self.now, pressure, node.revision)
             self.carry_out(node, found)
 
     def _send(self, source: str, target: str, body: bytes) -> None:
@@ -180,17 +182,17 @@
         cut = self._is_cut(node.address, action.address)
         if peer is None or peer.core is None or cut:
             if isinstance(action, actions.FetchState):
-                node.core.hear_state(action.instance, None, self.now)
+                node.core.receive_state(action.instance, None, self.now)
             return
         if isinstance(action, actions.FetchState):
             state = peer.core.compose_state()
-            found = node.core.hear_state(action.instance, state, self.now)
+            found = node.core.receive_state(action.instance, state, self.now)
             self.carry_out(node, found)
             return
-        found = peer.core.summaries.hear(action.summary, self.now)
+        found = peer.core.summaries.receive(action.summary, self.now)
         self.carry_out(peer, found)
         answer = peer.core.summaries.compose(self.now)
-        found = node.core.summaries.hear(answer, self.now)
+        found = node.core.summaries.receive(answer, self.now)
         self.carry_out(node, found)
 
     def _at(self, address: str) -> Node | None:
--- a/pollenfork/membership/tests/test_actor.py
+++ b/pollenfork/membership/tests/test_actor.py
@@ -12,8 +12,8 @@
 from pollenfork.membership import actor
 from pollenfork.membership import core
 from pollenfork.membership import errors
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import wire
 from pollenfork.store import edges
 from pollenfork.store import errors as platform_errors
@@ -74,7 +74,7 @@
         self.list = FakeList()
         self.events = []
         self.publish = self.events.append
-        identity = own.Identity(
+        identity = local_member.Identity(
             ids.InstanceId("entry-0"), ids.DataCentre("a"), "10.0.0.1:1"
         )
         self.ref = actor.MembershipActor.start(
@@ -174,7 +174,7 @@
 
 def test_a_summary_is_answered_by_one_and_a_bad_one_refused(bench):
     far = wire.Entry(
-        wire.Note(
+        wire.MemberUpdate(
             ids.InstanceId("far"),
             ids.Incarnation(1),
             1,
--- a/pollenfork/membership/tests/test_core.py
+++ b/pollenfork/membership/tests/test_core.py
@@ -6,8 +6,8 @@
 from pollenfork import ids
 from pollenfork.dispatch import messages as dispatch_messages
 from pollenfork.membership import actions
+from pollenfork.membership import local_member
 from pollenfork.membership import messages
-from pollenfork.membership import own
 from pollenfork.membership import pressures
 from pollenfork.membership import wire
 from pollenfork.membership.tests import network
@@ -49,7 +49,7 @@
 
 
 def _note(heartbeat, status, sequence):
-    return wire.Note(
+    return wire.MemberUpdate(
         heartbeat.instance,
         heartbeat.incarnation,
         sequence,
@@ -72,7 +72,7 @@
         notes=(note,),
     )
     world.carry_out(
-        node, node.core.hear_heartbeat(teller, "teller:1", world.now)
+        node, node.core.receive_heartbeat(teller, "teller:1", world.now)
     )
 
 
@@ -197,7 +197,7 @@
         status=_STATUS.LIVE,
         revision=ids.Revision(1),
     )
-    node.core.hear_heartbeat(later, "replacement:1", world.now)
+    node.core.receive_heartbeat(later, "replacement:1", world.now)
     world.run(3.0)
     assert node.present(world.now)["entry-0"] == later.incarnation
     assert world.nodes["entry-0"].core.incarnation == member.incarnation
@@ -231,7 +231,7 @@
 def test_a_later_incarnation_is_told_with_names_at_once():
     world = _start("a", "a")
     node = world.nodes["entry-1"]
-    note = wire.Note(
+    note = wire.MemberUpdate(
         ids.InstanceId("entry-1"),
         node.core.incarnation,
         9,
@@ -262,7 +262,7 @@
         incarnation=ids.Incarnation(heartbeat.incarnation + later),
         sequence=heartbeat.sequence + 100,
     )
-    assert node.core.hear_heartbeat(nameless, address, world.now) == []
+    assert node.core.receive_heartbeat(nameless, address, world.now) == []
 
 
 def test_few_whole_states_are_fetched_at_a_time():
@@ -271,20 +271,20 @@
     core = world.nodes["entry-0"].core
     heartbeat = wire.Heartbeat(1, "x", "a", 1, 1, 200, _STATUS.LIVE, 1)
     encoder = pressures.PressureEncoder()
-    body = encoder.encode_change(dispatch_messages.Pressure("x"), 0.0)
+    body = encoder.encode_delta(dispatch_messages.Pressure("x"), 0.0)
     asked = []
     for number in range(10):
         one = msgspec.structs.replace(
             heartbeat, instance=f"peer-{number}", pressure=body
         )
-        found = core.hear_heartbeat(one, f"peer-{number}:1", 0.0)
+        found = core.receive_heartbeat(one, f"peer-{number}:1", 0.0)
         asked += [a for a in found if isinstance(a, actions.FetchState)]
     assert [fetch.instance for fetch in asked] == [
         f"peer-{number}" for number in range(4)
     ]
-    core.hear_state("peer-0", None, 0.1)
+    core.receive_state("peer-0", None, 0.1)
     later = msgspec.structs.replace(one, sequence=2)
-    found = core.hear_heartbeat(later, "peer-9:1", 0.3)
+    found = core.receive_heartbeat(later, "peer-9:1", 0.3)
     assert actions.FetchState("peer-9", "peer-9:1") in found
 
 
@@ -365,7 +365,7 @@
         later = msgspec.structs.replace(
             heartbeat, sequence=heartbeat.sequence + sequence
         )
-        node.core.hear_heartbeat(later, late.source, world.now)
+        node.core.receive_heartbeat(later, late.source, world.now)
         assert _status(node, "entry-0", world.now) is status
 
 
@@ -377,7 +377,7 @@
     heartbeat = wire.decode_heartbeat(late.body).unwrap()
     _tell(node, world, _note(heartbeat, _STATUS.LEFT, heartbeat.sequence))
     later = msgspec.structs.replace(heartbeat, sequence=heartbeat.sequence + 9)
-    node.core.hear_heartbeat(later, late.source, world.now)
+    node.core.receive_heartbeat(later, late.source, world.now)
     assert _status(node, "entry-0", world.now) is _STATUS.LEFT
     assert _kinds(node, "entry-0")[1:] == [messages.MemberLeft]
 
@@ -416,10 +416,14 @@
     ],
 )
 def test_what_others_say_of_this_instance(later, status, address, incarnation):
-    identity = own.Identity(ids.InstanceId("x"), ids.DataCentre("a"), "x:1")
-    me = own.Own(identity, ids.Incarnation(10))
+    identity = local_member.Identity(
+        ids.InstanceId("x"), ids.DataCentre("a"), "x:1"
+    )
+    me = local_member.LocalMember(identity, ids.Incarnation(10))
     said = ids.Incarnation(10 + later)
-    me.hear_note(wire.Note(identity.instance, said, 5, status, address))
+    me.receive_update(
+        wire.MemberUpdate(identity.instance, said, 5, status, address)
+    )
     assert me.incarnation == incarnation
     assert me.status is _STATUS.LIVE
 
--- a/pollenfork/membership/tests/test_pressures.py
+++ b/pollenfork/membership/tests/test_pressures.py
@@ -73,25 +73,25 @@
     for sequence, (demands, occupancies, leaving, step) in enumerate(series, 1):
         now += step
         sent = _build(demands, occupancies, leaving)
-        body = encoder.encode_change(sent, now)
+        body = encoder.encode_delta(sent, now)
         if sequence == lost:
             continue
         heard = decoder.apply(sequence, body)
         if sequence == 1 or sequence - 1 == lost:
             failure = heard.unwrap_err()
             assert isinstance(failure, errors.MissingBase)
-            heard = decoder.apply(sequence, encoder.encode_whole())
+            heard = decoder.apply(sequence, encoder.encode_full())
         _assert_same(heard.unwrap(), sent)
 
 
 def test_differences_that_overtake_the_whole_state_are_kept():
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
-    encoder.encode_change(_build({}, {("x", 0): 1}), 1.0)
-    whole = encoder.encode_whole()
+    encoder.encode_delta(_build({}, {("x", 0): 1}), 1.0)
+    whole = encoder.encode_full()
     for sequence in (2, 3):
         sent = _build({("a", 1): (sequence, 0)}, {("x", 0): sequence})
-        decoder.apply(sequence, encoder.encode_change(sent, 1.0))
+        decoder.apply(sequence, encoder.encode_delta(sent, 1.0))
     _assert_same(decoder.apply(1, whole).unwrap(), sent)
     assert decoder.sequence == 3
 
@@ -99,22 +99,22 @@
 def test_old_names_do_not_pile_up():
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
-    decoder.apply(0, encoder.encode_whole())
+    decoder.apply(0, encoder.encode_full())
     for sequence in range(1, 40):
         names = {(f"runner-{sequence}-{n}", 0): 1 for n in range(100)}
         sent = _build({}, names)
-        body = encoder.encode_change(sent, 1.0)
+        body = encoder.encode_delta(sent, 1.0)
         _assert_same(decoder.apply(sequence, body).unwrap(), sent)
-    assert len(encoder.encode_whole()) < 64 * 1024
+    assert len(encoder.encode_full()) < 64 * 1024
 
 
 def test_an_unchanged_queue_costs_few_bytes():
     demands = {("a", tier): (3, 200) for tier in range(7)}
     occupancies = {(f"runner-{n}", n % 7): 2 for n in range(100)}
     encoder = pressures.PressureEncoder()
-    encoder.encode_change(_build(demands, occupancies), 1.0)
+    encoder.encode_delta(_build(demands, occupancies), 1.0)
     waited = dict.fromkeys(demands, (3, 1200))
-    assert len(encoder.encode_change(_build(waited, occupancies), 2.0)) < 16
+    assert len(encoder.encode_delta(_build(waited, occupancies), 2.0)) < 16
 
 
 def _pack(*fields):
@@ -138,10 +138,10 @@
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
     sent = _build({}, {("x", 1): 2})
-    encoder.encode_change(sent, 1.0)
-    decoder.apply(1, encoder.encode_whole())
+    encoder.encode_delta(sent, 1.0)
+    decoder.apply(1, encoder.encode_full())
     failure = decoder.apply(2, body).unwrap_err()
     assert isinstance(failure, errors.Undecodable)
-    after = decoder.apply(3, encoder.encode_change(sent, 1.0)).unwrap_err()
+    after = decoder.apply(3, encoder.encode_delta(sent, 1.0)).unwrap_err()
     assert isinstance(after, errors.MissingBase)
-    _assert_same(decoder.apply(3, encoder.encode_whole()).unwrap(), sent)
+    _assert_same(decoder.apply(3, encoder.encode_full()).unwrap(), sent)
--- a/pollenfork/membership/tests/test_wire.py
+++ b/pollenfork/membership/tests/test_wire.py
@@ -9,7 +9,7 @@
 from pollenfork.membership import wire
 
 _STATUS = messages.MemberStatus
-_NOTE = wire.Note(
+_NOTE = wire.MemberUpdate(
     ids.InstanceId("entry-2"),
     ids.Incarnation(1_700_000_000_002),
     41,
--- a/pollenfork/membership/wire.py
+++ b/pollenfork/membership/wire.py
@@ -22,7 +22,7 @@
 _PeriodMs = Annotated[int, msgspec.Meta(gt=0, le=60_000)]
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What the sender believes of a member of its own data centre.
 
     Attributes:
@@ -47,7 +47,7 @@
         period_ms: Time to the next heartbeat.
         status: `LIVE`, or `LEFT` in the last heartbeats.
         revision: The settings revision in force at the sender.
-        pressure: A `pressures.Difference`; empty for none.
+        pressure: A `pressures.Delta`; empty for none.
         notes: Suspicions, refutations and departures.
         leaving: Endpoints that another data centre says are leaving.
     """
@@ -61,14 +61,14 @@
     status: messages.MemberStatus
     revision: _Revision
     pressure: bytes = b""
-    notes: tuple[Note, ...] = ()
+    notes: tuple[MemberUpdate, ...] = ()
     leaving: tuple[ids.EndpointId, ...] = ()
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
     """One member of the data centre that a summary is about."""
 
-    note: Note
+    note: MemberUpdate
     revision: _Revision
 
 
@@ -86,7 +86,7 @@
     data_centre: ids.DataCentre
     entries: tuple[Entry, ...]
     leaving: tuple[ids.EndpointId, ...] = ()
-    corrections: tuple[Note, ...] = ()
+    corrections: tuple[MemberUpdate, ...] = ()
 
 
 _HEARTBEAT = msgspec.msgpack.Decoder(Heartbeat)
