--- a/pollenfork/membership/__init__.py
+++ b/pollenfork/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Peers: heartbeats, suspicion, incarnations and pressure exchange."""
+"""Cluster membership: heartbeats, failure detection and load exchange."""
--- a/pollenfork/membership/datagrams.py
+++ b/pollenfork/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between entry instances: UDP, one socket, one thread."""
+"""UDP transport between entry instances: one socket, one thread."""
 
 from collections.abc import Callable
 import functools
@@ -12,12 +12,13 @@
 from pollenfork.membership import wire
 
 _LOG = logging.getLogger(__name__)
-_BUFFER = 1024 * 1024  # Room for what arrives while the process is paused.
+# Holds datagrams that arrive while the process is paused.
+_RECEIVE_BUFFER_BYTES = 1024 * 1024
 _TICK_S = 0.2
 
 
 class Traffic(msgspec.Struct):
-    """Datagrams and their bytes so far, without IP and UDP headers."""
+    """Counts of datagrams and bytes, without IP and UDP headers."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -26,27 +27,28 @@
 
 
 class Datagrams:
-    """Sends datagrams, and hands on those that arrive and the time.
+    """Sends and receives datagrams, and runs a periodic callback.
 
-    The thread that waits for datagrams also wakes for time, so that no other
-    thread has to.
+    The receiving thread also serves as the timer, which saves a second thread.
     """
 
     def __init__(self, now: clock.Clock) -> None:
         self._clock = now
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER)
+        self._socket.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES
+        )
         self._stopped = threading.Event()
         self._thread: threading.Thread | None = None
         self.traffic = Traffic()
-        self.tick_s = _TICK_S  # May be set anew while the thread runs.
+        self.tick_s = _TICK_S  # May be changed while the thread runs.
 
     def bind(self, address: str) -> None:
-        """Takes the address; raises `OSError` where it is taken."""
+        """Binds the socket; raises `OSError` if the address is in use."""
         self._socket.bind(split_address(address))
 
     def send(self, body: bytes, addresses: tuple[str, ...]) -> None:
-        """Sends `body` to each address; a loss is no failure."""
+        """Sends `body` to each address; errors are logged and ignored."""
         for address in addresses:
             try:
                 self._socket.sendto(body, split_address(address))
--- a/pollenfork/membership/errors.py
+++ b/pollenfork/membership/errors.py
@@ -8,7 +8,7 @@
 
 
 class Undecodable(PeerFailure, frozen=True, kw_only=True):
-    """The bytes are no message of this format."""
+    """The bytes aren't a valid message of this format."""
 
 
 class UnknownFormat(PeerFailure, frozen=True, kw_only=True):
@@ -20,11 +20,11 @@
 
 
 class MissingBase(PeerFailure, frozen=True, kw_only=True):
-    """The difference applies to a state that this instance doesn't have."""
+    """The delta applies to a state that this instance doesn't have."""
 
 
 class Unreachable(PeerFailure, frozen=True, kw_only=True):
-    """No connection to the peer."""
+    """The connection to the peer couldn't be made or was closed."""
 
 
 class TimedOut(PeerFailure, frozen=True, kw_only=True):
@@ -32,4 +32,4 @@
 
 
 class Refused(PeerFailure, frozen=True, kw_only=True):
-    """The peer answered that it can't serve the call."""
+    """The peer rejected the call."""
--- a/pollenfork/membership/lifecycle.py
+++ b/pollenfork/membership/lifecycle.py
@@ -1,4 +1,4 @@
-"""Membership as the application wires it: start, leave, stop."""
+"""Membership as a component of the application: start, leave, stop."""
 
 from collections.abc import Callable
 import random
@@ -20,26 +20,26 @@
 from pollenfork.membership import transport
 from pollenfork.store import edges
 
-_ASK_S = 1.0
-_GRACE_S = 0.5
-_BIND_TRIES = 10
+_ASK_TIMEOUT_S = 1.0
+_SHUTDOWN_GRACE_S = 0.5
+_BIND_ATTEMPTS = 10
 
 
 class Membership:
-    """This instance among its peers.
+    """Runs the membership protocol of this instance.
 
     Args:
-        settings: Who this instance is. `peer_listen` must name the IP number
-            at which peers reach it; with port 0 a free one is taken.
+        settings: Identity of this instance. `peer_listen` must hold the IP
+            address at which peers reach it; port 0 picks a free port.
         now: The clock.
-        instance_list: The platform's list; asked each 10 s in a thread.
-        read_pressure: Returns the pressure to send; must be quick.
+        instance_list: The platform's list, read every 10 s in a thread.
+        read_pressure: Returns the pressure to send; must not block.
         read_revision: Returns the settings revision in force.
-        serve_settings: Returns the tree's bytes at a revision, 0 for that in
-            force; None where it isn't held.
-        publish: Takes each event, in the actor's thread; must be quick.
-        seeds: Peer addresses to try besides the list's.
-        incarnation: Of this process start; None takes the wall clock's.
+        serve_settings: Returns the tree's bytes at a revision, 0 for the one
+            in force; None if this instance doesn't hold it.
+        publish: Called with each event in the actor's thread; must not block.
+        seeds: Peer addresses to contact besides the list's.
+        incarnation: Of this process; None derives it from the wall clock.
     """
 
     def __init__(
@@ -79,14 +79,14 @@
 
     @property
     def incarnation(self) -> ids.Incarnation:
-        """The one that peers hear of now; safe from any thread."""
+        """The incarnation announced to peers; safe from any thread."""
         return self._core.incarnation if self._core else self._incarnation
 
     def start(self) -> None:
-        """Takes the peer address and begins to send heartbeats.
+        """Binds the peer address and starts sending heartbeats.
 
         Raises:
-            OSError: The address is taken.
+            OSError: The address is in use.
         """
         self.address = self._bind()
         identity = local_member.Identity(
@@ -109,46 +109,47 @@
         )
 
     def leave(self) -> None:
-        """Tells all peers that this instance leaves; call it after a drain.
+        """Announces to all peers that this instance leaves.
 
-        Its slots stop counting at the peers, so nothing may run any more.
+        Call it after a drain: peers stop counting its slots, so that no
+        request may still be running.
         """
         self._ask(actor.Leave())
-        self._client.wait_idle(_GRACE_S)
+        self._client.wait_idle(_SHUTDOWN_GRACE_S)
 
     def stop(self) -> None:
-        """Ends every thread and closes every socket."""
+        """Stops all threads and closes all sockets."""
         self._datagrams.stop()
-        self._server.stop(_GRACE_S)
+        self._server.stop(_SHUTDOWN_GRACE_S)
         self._client.close()
         if self._actor:
             self._actor.stop()
 
     def list_members(self) -> tuple[messages.MemberView, ...]:
-        """Returns all instances known, this one included."""
+        """Returns all known instances, including this one."""
         return self._ask(actor.ListMembers()) or ()
 
     def count_failures(self) -> dict[str, int]:
-        """Returns how often each kind of failure was met, for metrics."""
+        """Returns the number of failures by kind, for metrics."""
         return self._ask(actor.CountFailures()) or {}
 
     def read_traffic(self) -> datagrams.Traffic:
-        """Returns the heartbeats' traffic so far, for metrics."""
+        """Returns the traffic of heartbeats, for metrics."""
         return self._datagrams.traffic
 
     def fetch_settings(
         self, address: str, revision: ids.Revision
     ) -> transport.Answer:
-        """Returns a peer's settings tree; blocks for up to five seconds."""
+        """Fetches a peer's settings tree; blocks for up to five seconds."""
         return self._client.fetch_settings(address, revision)
 
     def serve_state(self) -> transport.Answer:
         """Returns this instance's state; called by the server."""
-        return self._ask(actor.ServeState()) or _late()
+        return self._ask(actor.ServeState()) or _timed_out()
 
     def serve_exchange(self, body: bytes) -> transport.Answer:
-        """Swaps summaries; called by the server."""
-        return self._ask(actor.ServeExchange(body)) or _late()
+        """Processes a summary and returns one; called by the server."""
+        return self._ask(actor.ServeExchange(body)) or _timed_out()
 
     def serve_settings(self, revision: ids.Revision) -> transport.Answer:
         """Returns a settings tree; called by the server."""
@@ -160,25 +161,25 @@
 
     def _bind(self) -> str:
         host, port = datagrams.split_address(self._settings.peer_listen)
-        for _ in range(_BIND_TRIES):
+        for _ in range(_BIND_ATTEMPTS):
             try:
                 bound = self._server.bind(f"{host}:{port}")
                 self._datagrams.bind(f"{host}:{bound}")
             except (OSError, RuntimeError) as error:
-                taken = error
+                failure = error
                 continue
             return f"{host}:{bound}"
-        raise OSError(f"{self._settings.peer_listen}: {taken}")
+        raise OSError(f"{self._settings.peer_listen}: {failure}")
 
     def _ask(self, message: Any) -> Any:
-        """Returns the actor's answer; None where it gives none in time."""
+        """Returns the actor's answer; None on a timeout or if it stopped."""
         if self._actor is None:
             return None
         try:
-            return self._actor.ask(message, timeout=_ASK_S)
+            return self._actor.ask(message, timeout=_ASK_TIMEOUT_S)
         except (pykka.Timeout, pykka.ActorDeadError):
             return None
 
 
-def _late() -> transport.Answer:
+def _timed_out() -> transport.Answer:
     return result.Err(errors.TimedOut(detail="the instance is busy or gone"))
--- a/pollenfork/membership/messages.py
+++ b/pollenfork/membership/messages.py
@@ -1,4 +1,4 @@
-"""What other slices hear from membership."""
+"""Events and views that membership gives other components."""
 
 import enum
 
@@ -9,16 +9,16 @@
 
 
 class MemberStatus(enum.Enum):
-    """What this instance believes of another entry instance."""
+    """Status of an entry instance as this instance knows it."""
 
     LIVE = "live"
     SUSPECTED = "suspected"  # Silent, but its slots still count.
-    LOST = "lost"  # Silent for too long; only its own voice brings it back.
-    LEFT = "left"  # It said so; final for that incarnation.
+    LOST = "lost"  # Silent for too long; back only by its own messages.
+    LEFT = "left"  # It announced it; final for that incarnation.
 
 
 class MemberJoined(msgspec.Struct, frozen=True, kw_only=True):
-    """A member is heard for the first time in this incarnation, or again.
+    """A member's incarnation was first seen, or is back after a loss.
 
     Attributes:
         address: `host:port` of its peer interface.
@@ -31,35 +31,35 @@
 
 
 class MemberSuspected(msgspec.Struct, frozen=True, kw_only=True):
-    """A member has been silent; it is removed unless someone hears it."""
+    """A member is silent and will be removed unless anyone hears it."""
 
     instance: ids.InstanceId
     incarnation: ids.Incarnation
 
 
 class SuspicionRefuted(msgspec.Struct, frozen=True, kw_only=True):
-    """A suspected member was heard, by this instance or by another."""
+    """A suspected member was heard by this or another instance."""
 
     instance: ids.InstanceId
     incarnation: ids.Incarnation
 
 
 class MemberLost(msgspec.Struct, frozen=True, kw_only=True):
-    """A member was removed after a suspicion, or replaced by a restart."""
+    """A member was removed after a suspicion or replaced by a restart."""
 
     instance: ids.InstanceId
     incarnation: ids.Incarnation
 
 
 class MemberLeft(msgspec.Struct, frozen=True, kw_only=True):
-    """A member said that it leaves: its pressure no longer counts."""
+    """A member announced its departure: its pressure no longer counts."""
 
     instance: ids.InstanceId
     incarnation: ids.Incarnation
 
 
 class PressureHeard(msgspec.Struct, frozen=True, kw_only=True):
-    """The pressure of a member in this data centre, newer than the last.
+    """New pressure of a member in this data centre.
 
     Attributes:
         sequence: Grows with each heartbeat of the member's incarnation.
@@ -74,7 +74,7 @@
     """The settings revision in force at a member has changed.
 
     Attributes:
-        address: Where `FetchSettings` can ask for that revision.
+        address: Where `FetchSettings` can fetch that revision.
     """
 
     instance: ids.InstanceId
@@ -83,7 +83,7 @@
 
 
 class EndpointLeavingHeard(msgspec.Struct, frozen=True, kw_only=True):
-    """A member says that an endpoint leaves; published once for each."""
+    """A member reports that an endpoint is leaving; published once each."""
 
     endpoint: ids.EndpointId
     heard_from: ids.InstanceId
@@ -102,7 +102,7 @@
 
 
 class MemberView(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the list of instances that operators see.
+    """A row of the operators' list of instances.
 
     Attributes:
         heard_s_ago: Seconds since the last sign of life.
--- a/pollenfork/membership/periods.py
+++ b/pollenfork/membership/periods.py
@@ -1,4 +1,4 @@
-"""How often instances talk, and how long silence is borne.
+"""Protocol periods and failure detection timeouts.
 
 Traffic and CPU grow with members / period, so periods grow with members.
 """
@@ -23,7 +23,7 @@
 
 
 def compute_summary_s(members: int) -> float:
-    """Returns seconds between one instance's rounds to the others."""
+    """Returns seconds between an instance's summary rounds."""
     period_s = members * _SUMMARY_PER_MEMBER_S
     return min(max(period_s, _SUMMARY_MIN_S), _SUMMARY_MAX_S)
 
