--- a/pollenfork/membership/fetch_limiter.py
+++ b/pollenfork/membership/fetch_limiter.py
@@ -1,14 +1,14 @@
-"""Which whole states are being fetched, so that few are at a time."""
+"""Limits the number of full states that are fetched concurrently."""
 
 from pollenfork import ids
 
-_LIMIT = 4
+_MAX_FETCHES = 4
 
 
 class FetchLimiter:
-    """Leave to fetch; when many members start at once, most wait.
+    """Tracks running fetches; excess ones wait when many members start.
 
-    A member that gets no leave is asked about again with its next heartbeat.
+    A member whose fetch was denied is tried again on its next heartbeat.
     """
 
     def __init__(self) -> None:
@@ -16,11 +16,11 @@
 
     def try_start(self, instance: ids.InstanceId) -> bool:
         """Returns whether the member's state may be fetched now."""
-        if instance in self._running or len(self._running) >= _LIMIT:
+        if instance in self._running or len(self._running) >= _MAX_FETCHES:
             return False
         self._running.add(instance)
         return True
 
     def finish(self, instance: ids.InstanceId) -> None:
-        """Records that the fetch has been answered, or has failed."""
+        """Records that the fetch was answered or failed."""
         self._running.discard(instance)
--- a/pollenfork/membership/pressures.py
+++ b/pollenfork/membership/pressures.py
@@ -1,10 +1,10 @@
-"""Pressure as a compact state that is sent whole or as a difference.
+"""Compact encoding of pressure, sent in full or as a delta.
 
 Names are sent once; a cell is a name's index times `_TIERS` plus the tier. A
-difference lists the changed cells in order, each by its distance to the one
-before, so that most numbers take one byte of MessagePack. A demand's age is
-kept as the moment the oldest request began to wait: while the same request
-waits the cell stays unchanged.
+delta lists the changed cells in order, each by its distance to the previous
+one, so that most numbers take one byte of MessagePack. A demand's age is stored
+as the time at which the oldest request began to wait: while the same request
+waits, the cell stays unchanged.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -27,18 +27,18 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True):
-    """What changed since the base; with `whole`, since the empty state.
+    """Changes since the base; with `full`, since the empty state.
 
     Attributes:
         now: Sender's monotonic time in units of 100 ms.
         demands: Triples of distance, requests waiting and age in units.
         occupancies: Pairs of distance and requests in flight.
-        models: Names that follow those of the base.
-        endpoints: Names that follow those of the base.
-        leaving: Endpoints said to be leaving; None for no change.
+        models: Names appended to those of the base.
+        endpoints: Names appended to those of the base.
+        leaving: Endpoints that are leaving; None for no change.
     """
 
-    whole: bool
+    full: bool
     now: _Number
     demands: tuple[_Number, ...] = ()
     occupancies: tuple[_Number, ...] = ()
@@ -51,7 +51,7 @@
 
 
 class _State:
-    """The names and cells that sender and receiver agree on."""
+    """The names and cells that sender and receiver share."""
 
     def __init__(self) -> None:
         self.models: dict[ids.ModelName, int] = {}
@@ -62,44 +62,44 @@
 
 
 class PressureEncoder:
-    """Turns each new pressure of this instance into a difference."""
+    """Encodes each new pressure of this instance as a delta."""
 
     def __init__(self) -> None:
         self._state = _State()
         self._now = 0
 
     def encode_delta(self, pressure: messages.Pressure, now: float) -> bytes:
-        """Returns the difference to the last pressure encoded.
+        """Returns the delta to the last pressure encoded.
 
         Args:
-            pressure: The whole pressure as of now.
+            pressure: The complete current pressure.
             now: Monotonic seconds.
         """
-        whole = self._forget_old_names()
+        full = self._reset_if_crowded()
         state = self._state
         self._now = int(now * 1000) // _UNIT_MS
         models = _add_names(state.models, (d.model for d in pressure.demands))
         endpoints = _add_names(
             state.endpoints, (o.endpoint for o in pressure.occupancies)
         )
-        demands = _find_demands(state, pressure, now)
-        occupancies = _find_occupancies(state, pressure)
-        difference = Delta(
-            whole=whole,
+        demands = _index_demands(state, pressure, now)
+        occupancies = _index_occupancies(state, pressure)
+        delta = Delta(
+            full=full,
             now=self._now,
-            demands=_flatten_demands(state.demands, demands, self._now),
-            occupancies=_flatten_occupancies(state.occupancies, occupancies),
+            demands=_encode_demands(state.demands, demands, self._now),
+            occupancies=_encode_occupancies(state.occupancies, occupancies),
             models=models,
             endpoints=endpoints,
-            leaving=_find_leaving(state, pressure),
+            leaving=_diff_leaving(state, pressure),
         )
         state.demands = demands
         state.occupancies = occupancies
         state.leaving = pressure.leaving
-        return msgspec.msgpack.encode(difference)
+        return msgspec.msgpack.encode(delta)
 
-    def _forget_old_names(self) -> bool:
-        """Starts from the empty state when names have piled up."""
+    def _reset_if_crowded(self) -> bool:
+        """Starts from the empty state when many names have accumulated."""
         known = len(self._state.models) + len(self._state.endpoints)
         if known <= _MAX_NAMES // 2:
             return False
@@ -107,14 +107,14 @@
         return True
 
     def encode_full(self) -> bytes:
-        """Returns the last pressure encoded, for who has no base."""
+        """Returns the last pressure in full, for peers without the base."""
         state = self._state
         return msgspec.msgpack.encode(
             Delta(
-                whole=True,
+                full=True,
                 now=self._now,
-                demands=_flatten_demands({}, state.demands, self._now),
-                occupancies=_flatten_occupancies({}, state.occupancies),
+                demands=_encode_demands({}, state.demands, self._now),
+                occupancies=_encode_occupancies({}, state.occupancies),
                 models=tuple(state.models),
                 endpoints=tuple(state.endpoints),
                 leaving=state.leaving,
@@ -123,61 +123,61 @@
 
 
 class PressureDecoder:
-    """The pressure of one peer, kept up to date by its differences."""
+    """Maintains the pressure of one peer from its deltas."""
 
     def __init__(self, instance: ids.InstanceId) -> None:
         self._instance = instance
         self._state = _State()
-        self._slots: dict[int, messages.Occupancy] = {}
+        self._occupancies: dict[int, messages.Occupancy] = {}
         self._pending: dict[int, Delta] = {}
         self.sequence: int | None = None  # Of the pressure returned last.
 
     def apply(
         self, sequence: int, body: bytes
     ) -> result.Result[messages.Pressure, errors.PeerFailure]:
-        """Returns the peer's newest pressure after taking in `body`.
+        """Applies `body` and returns the peer's latest pressure.
 
-        `MissingBase` where the difference follows a sequence never seen: the
-        whole state must be fetched. Differences that come before it does are
-        kept, as it may be older than they are.
+        Returns `MissingBase` if the delta's base was never received: the full
+        state must be fetched. Deltas that arrive before it are buffered, as
+        the full state may be older than they are.
         """
         try:
-            difference = _DECODER.decode(body)
-            return self._apply(sequence, difference)
+            delta = _DECODER.decode(body)
+            return self._apply(sequence, delta)
         except (msgspec.MsgspecError, ValueError, LookupError) as error:
             self.sequence = None
             return result.Err(errors.Undecodable(detail=str(error)))
 
     def _apply(
-        self, sequence: int, difference: Delta
+        self, sequence: int, delta: Delta
     ) -> result.Result[messages.Pressure, errors.PeerFailure]:
         follows = self.sequence is not None and self.sequence == sequence - 1
-        if not difference.whole and not follows:
-            self._keep(sequence, difference)
+        if not delta.full and not follows:
+            self._buffer(sequence, delta)
             detail = f"have {self.sequence}, heard {sequence}"
             return result.Err(errors.MissingBase(detail=detail))
-        if difference.whole:
+        if delta.full:
             self._state = _State()
-            self._slots = {}
-        now = difference.now
-        self._update(difference)
-        while later := self._pending.pop(sequence + 1, None):
+            self._occupancies = {}
+        now = delta.now
+        self._apply_delta(delta)
+        while buffered := self._pending.pop(sequence + 1, None):
             sequence += 1
-            now = later.now
-            self._update(later)
+            now = buffered.now
+            self._apply_delta(buffered)
         self._pending.clear()
         pressure = self._build(now)
         self.sequence = sequence
         return result.Ok(pressure)
 
-    def _update(self, difference: Delta) -> None:
+    def _apply_delta(self, delta: Delta) -> None:
         state = self._state
-        _add_names(state.models, difference.models)
-        _add_names(state.endpoints, difference.endpoints)
-        _update_demands(state.demands, difference)
-        _update_occupancies(self._slots, tuple(state.endpoints), difference)
-        if difference.leaving is not None:
-            state.leaving = difference.leaving
+        _add_names(state.models, delta.models)
+        _add_names(state.endpoints, delta.endpoints)
+        _update_demands(state.demands, delta)
+        _update_occupancies(self._occupancies, tuple(state.endpoints), delta)
+        if delta.leaving is not None:
+            state.leaving = delta.leaving
 
     def _build(self, now: int) -> messages.Pressure:
         models = tuple(self._state.models)
@@ -193,12 +193,12 @@
         return messages.Pressure(
             instance=self._instance,
             demands=demands,
-            occupancies=tuple(self._slots.values()),
+            occupancies=tuple(self._occupancies.values()),
             leaving=self._state.leaving,
         )
 
-    def _keep(self, sequence: int, difference: Delta) -> None:
-        self._pending[sequence] = difference
+    def _buffer(self, sequence: int, delta: Delta) -> None:
+        self._pending[sequence] = delta
         if len(self._pending) > _MAX_PENDING:
             del self._pending[min(self._pending)]
 
@@ -215,7 +215,7 @@
     return tuple(added)
 
 
-def _find_demands(
+def _index_demands(
     state: _State, pressure: messages.Pressure, now: float
 ) -> dict[int, tuple[int, int]]:
     now_ms = int(now * 1000)
@@ -229,7 +229,7 @@
     }
 
 
-def _find_occupancies(
+def _index_occupancies(
     state: _State, pressure: messages.Pressure
 ) -> dict[int, int]:
     return {
@@ -240,70 +240,70 @@
     }
 
 
-def _find_leaving(
+def _diff_leaving(
     state: _State, pressure: messages.Pressure
 ) -> tuple[ids.EndpointId, ...] | None:
     return None if pressure.leaving == state.leaving else pressure.leaving
 
 
-def _changed_cells(old: Mapping, new: Mapping) -> Iterator[tuple[int, int]]:
+def _iter_changed_cells(
+    old: Mapping, new: Mapping
+) -> Iterator[tuple[int, int]]:
     """Yields each changed cell and its distance to the one before."""
     cells = {cell for cell, value in new.items() if old.get(cell) != value}
     cells.update(cell for cell in old if cell not in new)
-    before = 0
+    previous = 0
     for cell in sorted(cells):
-        yield cell, cell - before
-        before = cell
+        yield cell, cell - previous
+        previous = cell
 
 
-def _flatten_demands(
+def _encode_demands(
     old: Mapping[int, tuple[int, int]],
     new: Mapping[int, tuple[int, int]],
     now: int,
 ) -> tuple[int, ...]:
     numbers: list[int] = []
-    for cell, distance in _changed_cells(old, new):
+    for cell, distance in _iter_changed_cells(old, new):
         waiting, since = new.get(cell, (0, now))
         numbers.extend((distance, waiting, now - since))
     return tuple(numbers)
 
 
-def _flatten_occupancies(
+def _encode_occupancies(
     old: Mapping[int, int], new: Mapping[int, int]
 ) -> tuple[int, ...]:
     numbers: list[int] = []
-    for cell, distance in _changed_cells(old, new):
+    for cell, distance in _iter_changed_cells(old, new):
         numbers.extend((distance, new.get(cell, 0)))
     return tuple(numbers)
 
 
-def _update_demands(
-    cells: dict[int, tuple[int, int]], difference: Delta
-) -> None:
+def _update_demands(cells: dict[int, tuple[int, int]], delta: Delta) -> None:
     cell = 0
-    numbers = iter(difference.demands)
+    numbers = iter(delta.demands)
     for distance, waiting, age in zip(numbers, numbers, numbers, strict=True):
         cell += distance
         if waiting:
-            cells[cell] = (waiting, difference.now - age)
+            cells[cell] = (waiting, delta.now - age)
         else:
             del cells[cell]
 
 
 def _update_occupancies(
-    slots: dict[int, messages.Occupancy],
+    occupancies: dict[int, messages.Occupancy],
     endpoints: tuple[ids.EndpointId, ...],
-    difference: Delta,
+    delta: Delta,
 ) -> None:
-    """Replaces what changed; building all of them anew cost half the CPU."""
+    """Replaces only changed cells: rebuilding all took half the CPU."""
     cell = 0
-    numbers = iter(difference.occupancies)
+    numbers = iter(delta.occupancies)
     for distance, in_flight in zip(numbers, numbers, strict=True):
         cell += distance
         if not in_flight:
-            del slots[cell]
+            del occupancies[cell]
             continue
-        slots[cell] = messages.Occupancy(
+        occupancies[cell] = messages.Occupancy(
             endpoint=endpoints[cell // _TIERS],
             tier=ids.Tier(cell % _TIERS),
             in_flight=in_flight,
