--- a/pollenfork/membership/tests/test_convergence.py
+++ b/pollenfork/membership/tests/test_convergence.py
@@ -1,4 +1,4 @@
-"""State machine: cores over a bad network agree once it is good again."""
+"""Cores converge after faults of the network (stateful test)."""
 
 from hypothesis import Phase
 from hypothesis import settings
@@ -8,8 +8,9 @@
 from pollenfork.membership import messages
 from pollenfork.membership.tests import network
 
-# After the last fault: probes every 2 s, then summaries and their silence.
-_SETTLE_S = 20.0
+# Covers probes every 2 s after the last fault, then summaries and their
+# silence timeouts.
+_CONVERGENCE_S = 20.0
 _CENTRES = ("amman-1", "amman-1", "amman-1", "amman-1", "amman-2", "amman-2")
 _NAMES = strategies.sampled_from([f"entry-{n}" for n in range(len(_CENTRES))])
 
@@ -19,7 +20,7 @@
         seed=strategies.integers(0, 2**16),
         count=strategies.integers(3, len(_CENTRES)),
     )
-    def begin(self, seed, count):
+    def start(self, seed, count):
         self.network = network.Network(seed, *_CENTRES[-count:])
         for name in self.network.nodes:
             self.network.start(name)
@@ -35,12 +36,12 @@
         loss=strategies.sampled_from([0.0, 0.1, 0.4]),
         delay_s=strategies.sampled_from([0.0, 0.3, 1.0]),
     )
-    def spoil(self, loss, delay_s):
+    def degrade(self, loss, delay_s):
         self.network.loss = loss
         self.network.delay_s = delay_s
 
     @stateful.rule(one=_NAMES, other=_NAMES)
-    def cut(self, one, other):
+    def partition(self, one, other):
         self.network.cuts.add(frozenset((f"{one}:1", f"{other}:1")))
 
     @stateful.rule()
@@ -69,16 +70,16 @@
             self.network.deliver(history[which % len(history)])
 
     @stateful.rule()
-    def lose_list(self):
+    def truncate_list(self):
         self.network.listed = self.network.listed[:1]
 
     @stateful.rule()
-    def settle(self):
+    def converge(self):
         self.network.publish_list()
         self.network.cuts.clear()
         self.network.loss = 0.0
         self.network.delay_s = 0.0
-        self.network.run(_SETTLE_S)
+        self.network.run(_CONVERGENCE_S)
         running = {
             node.name: node.core.incarnation for node in self.network.running()
         }
@@ -86,7 +87,7 @@
             assert node.present(self.network.now) == running, node.name
 
     @stateful.invariant()
-    def nobody_removes_itself(self):
+    def no_member_removes_itself(self):
         for node in self.network.running():
             assert node.name in node.present(self.network.now)
             for event in node.events:
@@ -94,7 +95,7 @@
                     assert event.instance != node.name
 
     @stateful.invariant()
-    def incarnations_never_go_back_and_leaving_is_final(self):
+    def incarnations_increase_and_leaving_is_final(self):
         for node in self.network.running():
             highest: dict = {}
             left = set()
@@ -109,14 +110,14 @@
 
     def teardown(self):
         if hasattr(self, "network"):
-            self.settle()
+            self.converge()
 
 
 TestMembership = Membership.TestCase
 TestMembership.settings = settings(
     max_examples=30,
     stateful_step_count=25,
-    # Shrinking such runs takes minutes and seldom makes them shorter.
+    # Shrinking such runs takes minutes and rarely shortens them.
     phases=(Phase.explicit, Phase.generate),
     report_multiple_bugs=False,
 )
--- a/pollenfork/membership/tests/test_lifecycle.py
+++ b/pollenfork/membership/tests/test_lifecycle.py
@@ -17,8 +17,8 @@
 _LIMIT_S = 20.0
 
 
-class Down:
-    """The platform's list while the platform is down."""
+class UnavailableList:
+    """The platform's list while the platform is unavailable."""
 
     def fetch(self):
         return result.Err(platform_errors.Unavailable())
@@ -37,7 +37,7 @@
     membership = lifecycle.Membership(
         settings,
         clock.SystemClock(),
-        Down(),
+        UnavailableList(),
         lambda: dispatch_messages.Pressure(settings.instance, (demand,)),
         lambda: ids.Revision(5),
         {0: b"tree"}.get,
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.filterwarnings("error")
-def test_two_instances_meet_talk_and_part_with_the_platform_down():
+def test_two_instances_work_while_platform_is_unavailable():
     before = set(threading.enumerate())
     one, one_events = _make("entry-1")
     one.start()
@@ -77,17 +77,17 @@
     assert "Unavailable" in one.count_failures()
     other.stop()
     one.stop()
-    ours = [
+    started = [
         thread
         for thread in set(threading.enumerate()) - before
         if not thread.name.startswith("peer-server")
     ]
-    for thread in ours:
+    for thread in started:
         thread.join(_LIMIT_S)
         assert not thread.is_alive(), thread
 
 
-def test_a_taken_address_is_told_at_the_start():
+def test_start_raises_if_address_is_in_use():
     one, _ = _make("entry-1")
     one.start()
     other, _ = _make("entry-2")
--- a/pollenfork/membership/tests/test_pressures.py
+++ b/pollenfork/membership/tests/test_pressures.py
@@ -1,4 +1,4 @@
-"""Differences add up to the pressure that was sent."""
+"""Decoded deltas reproduce the pressure that was sent."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -66,7 +66,7 @@
     ),
     strategies.integers(0, 5),
 )
-def test_any_series_arrives_as_sent(series, lost):
+def test_any_series_is_decoded_as_sent(series, lost):
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
     now = 0.0
@@ -84,19 +84,19 @@
         _assert_same(heard.unwrap(), sent)
 
 
-def test_differences_that_overtake_the_whole_state_are_kept():
+def test_deltas_ahead_of_full_state_are_buffered():
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
     encoder.encode_delta(_build({}, {("x", 0): 1}), 1.0)
-    whole = encoder.encode_full()
+    full = encoder.encode_full()
     for sequence in (2, 3):
         sent = _build({("a", 1): (sequence, 0)}, {("x", 0): sequence})
         decoder.apply(sequence, encoder.encode_delta(sent, 1.0))
-    _assert_same(decoder.apply(1, whole).unwrap(), sent)
+    _assert_same(decoder.apply(1, full).unwrap(), sent)
     assert decoder.sequence == 3
 
 
-def test_old_names_do_not_pile_up():
+def test_old_names_do_not_accumulate():
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
     decoder.apply(0, encoder.encode_full())
@@ -108,7 +108,7 @@
     assert len(encoder.encode_full()) < 64 * 1024
 
 
-def test_an_unchanged_queue_costs_few_bytes():
+def test_unchanged_queue_takes_few_bytes():
     demands = {("a", tier): (3, 200) for tier in range(7)}
     occupancies = {(f"runner-{n}", n % 7): 2 for n in range(100)}
     encoder = pressures.PressureEncoder()
@@ -130,11 +130,11 @@
         _pack(True, 1, [0, 1]),  # A demand of two numbers.
         _pack(True, 1, [16, 1, 0], [], ["a"]),  # No such model.
         _pack(True, 1, [], [-16, 1], [], ["x"]),
-        _pack(True, 1, [], [0, 0], [], ["x"]),  # Removes what isn't there.
+        _pack(True, 1, [], [0, 0], [], ["x"]),  # Removes a missing cell.
         _pack(True, 1, [], [], [], [f"x{n}" for n in range(5000)]),
     ],
 )
-def test_nonsense_is_refused_and_the_whole_state_is_asked_for(body):
+def test_invalid_delta_is_rejected_and_full_state_needed(body):
     encoder = pressures.PressureEncoder()
     decoder = pressures.PressureDecoder(_NAME)
     sent = _build({}, {("x", 1): 2})
--- a/pollenfork/membership/tests/test_transport.py
+++ b/pollenfork/membership/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""The contract of the gRPC interface, both ends, with its fault cases."""
+"""gRPC client and server against each other, with failure cases."""
 
 import socket
 import threading
@@ -15,7 +15,7 @@
 
 
 class FakeService:
-    """Answers what a test sets; `gate` holds answers back while it's unset."""
+    """Returns a preset answer; blocks while `gate` isn't set."""
 
     def __init__(self):
         self.gate = threading.Event()
@@ -50,9 +50,9 @@
 
 @pytest.fixture
 def client():
-    end = transport.Client(call_s=5.0)
-    yield end
-    end.close()
+    made = transport.Client(call_s=5.0)
+    yield made
+    made.close()
 
 
 def _wait(call, *arguments):
@@ -71,7 +71,7 @@
 _SUMMARY = wire.Summary(1, ids.InstanceId("e"), ids.DataCentre("a"), ())
 
 
-def test_a_state_and_a_summary_arrive_whole(address, client):
+def test_state_and_summary_are_transferred(address, client):
     assert _wait(client.fetch_state, address) == result.Ok(b"answer")
     body = wire.encode(_SUMMARY)
     assert _wait(client.exchange, address, body) == result.Ok(b"answer")
@@ -89,7 +89,7 @@
         (bytes(wire.SUMMARY_LIMIT + 1), errors.Refused),
     ],
 )
-def test_a_bad_summary_is_refused_by_type(address, client, body, failure):
+def test_invalid_summary_is_rejected_by_type(address, client, body, failure):
     answer = _wait(client.exchange, address, body)
     assert type(answer.unwrap_err()) is failure
 
@@ -103,7 +103,7 @@
         (errors.MissingBase(), errors.Refused),
     ],
 )
-def test_failures_keep_their_type_across(
+def test_failures_keep_their_type_over_grpc(
     service, address, client, failure, seen
 ):
     service.answer = result.Err(failure)
@@ -111,13 +111,13 @@
     assert type(answer.unwrap_err()) is seen
 
 
-def test_a_fault_in_the_peer_is_a_refusal(service, address, client):
+def test_exception_in_peer_is_refused(service, address, client):
     service.answer = None
     answer = _wait(client.fetch_state, address)
     assert type(answer.unwrap_err()) is errors.Refused
 
 
-def test_a_slow_peer_times_out(service, address):
+def test_slow_peer_times_out(service, address):
     service.gate.clear()
     client = transport.Client(call_s=0.05)
     answer = _wait(client.fetch_state, address)
@@ -125,7 +125,7 @@
     client.close()
 
 
-def test_a_peer_that_is_down_is_unreachable_until_it_is_back(client, service):
+def test_stopped_peer_is_unreachable_until_restarted(client, service):
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{probe.getsockname()[1]}"
@@ -138,7 +138,7 @@
     server.stop(0)
 
 
-def test_a_taken_address_raises(service, address):
+def test_bind_raises_if_address_is_in_use(service, address):
     with pytest.raises(RuntimeError):
         transport.Server(service).bind(address)
 
@@ -162,7 +162,7 @@
         (33 * 1024 * 1024, 7, errors.Refused),
     ],
 )
-def test_settings_arrive_whole_or_with_a_failure(
+def test_settings_are_transferred_or_fail(
     service, address, client, size, revision, failure
 ):
     service.answer = result.Ok(bytes(size))
@@ -173,7 +173,7 @@
         assert type(answer.unwrap_err()) is failure
 
 
-def test_an_unknown_settings_format_is_refused(address):
+def test_unknown_settings_format_is_rejected(address):
     with grpc.insecure_channel(address) as channel:
         call = channel.unary_unary(
             "/pollenfork.membership.Peer/FetchSettings",
@@ -184,7 +184,7 @@
     assert caught.value.code() is grpc.StatusCode.FAILED_PRECONDITION
 
 
-def test_bytes_that_are_no_message_leave_the_server_serving(address, client):
+def test_server_keeps_serving_after_invalid_bytes(address, client):
     with grpc.insecure_channel(address) as channel:
         call = channel.unary_unary("/pollenfork.membership.Peer/Exchange")
         with pytest.raises(grpc.RpcError):
