--- a/pollenfork/membership/actions.py
+++ b/pollenfork/membership/actions.py
@@ -1,4 +1,4 @@
-"""What the membership core asks its shell to do."""
+"""Side effects that the membership core requests from its actor."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class FetchState(msgspec.Struct, frozen=True):
-    """Asks a peer for its last heartbeat with its whole pressure."""
+    """Requests a peer's last heartbeat with its full pressure."""
 
     instance: ids.InstanceId
     address: str
@@ -30,17 +30,17 @@
 
 
 class FetchList(msgspec.Struct, frozen=True):
-    """Asks the platform for its list of instances."""
+    """Requests the list of instances from the platform."""
 
 
 class Publish(msgspec.Struct, frozen=True):
-    """Tells the rest of this instance."""
+    """Publishes an event to the other components of this instance."""
 
     event: messages.Event
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Counts and logs what was wrong with a peer's message."""
+    """Counts and logs a failure that a peer's message caused."""
 
     instance: ids.InstanceId
     failure: errors.PeerFailure
--- a/pollenfork/membership/actor.py
+++ b/pollenfork/membership/actor.py
@@ -1,4 +1,4 @@
-"""The membership actor: owns the core and carries out its actions."""
+"""The membership actor: owns the core and executes its actions."""
 
 import collections
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 
 class Time(msgspec.Struct, frozen=True):
-    """Time has passed."""
+    """Periodic timer message."""
 
 
 class DatagramHeard(msgspec.Struct, frozen=True):
@@ -44,27 +44,27 @@
 
 
 class StateFetched(msgspec.Struct, frozen=True):
-    """A peer answered `FetchState`, or failed to."""
+    """The result of a `FetchState` call to a peer."""
 
     instance: ids.InstanceId
     answer: transport.Answer
 
 
 class SummaryAnswered(msgspec.Struct, frozen=True):
-    """An instance of another data centre answered, or failed to."""
+    """The result of a summary exchange with another data centre."""
 
     address: str
     answer: transport.Answer
 
 
 class ListFetched(msgspec.Struct, frozen=True):
-    """The platform answered with its list, or failed to."""
+    """The result of reading the platform's list of instances."""
 
     listed: Listed
 
 
 class ServeState(msgspec.Struct, frozen=True):
-    """A peer asks for the whole state."""
+    """A peer requests this instance's full state."""
 
 
 class ServeExchange(msgspec.Struct, frozen=True):
@@ -74,19 +74,19 @@
 
 
 class ListMembers(msgspec.Struct, frozen=True):
-    """An operator asks who is there."""
+    """Requests all known members, for operators."""
 
 
 class CountFailures(msgspec.Struct, frozen=True):
-    """The metrics ask how often each kind of failure was met."""
+    """Requests the number of failures by kind, for metrics."""
 
 
 class Leave(msgspec.Struct, frozen=True):
-    """This instance stops."""
+    """Announces that this instance leaves."""
 
 
 class Edges(msgspec.Struct, frozen=True):
-    """What the actor reaches the world with."""
+    """The actor's external dependencies."""
 
     clock: clock.Clock
     datagrams: datagrams.Datagrams
@@ -98,7 +98,7 @@
 
 
 class MembershipActor(pykka.ThreadingActor):
-    """Owns one core; every entry to it is a message."""
+    """Serializes all access to one core through its mailbox."""
 
     def __init__(self, membership: core.Core, outside: Edges) -> None:
         super().__init__()
@@ -109,15 +109,15 @@
         self._fetching = False
 
     def on_receive(self, message: Any) -> Any:
-        """Handles one message; a fault in one must not end the actor."""
+        """Handles one message; an exception must not stop the actor."""
         try:
             return self._handle(message)
         except Exception as error:
-            self._count_fault(error, type(message).__name__)
+            self._record_exception(error, type(message).__name__)
             return None
 
     def on_stop(self) -> None:
-        """Lets go of the thread that asks for the list."""
+        """Shuts down the thread that reads the list of instances."""
         self._fetcher.shutdown(wait=False, cancel_futures=True)
 
     def _handle(self, message: Any) -> Any:
@@ -132,77 +132,77 @@
             case CountFailures():
                 return dict(self._failures)
             case _:
-                self._hear(message, now)
+                self._receive(message, now)
         return None
 
-    def _hear(self, message: Any, now: float) -> None:
+    def _receive(self, message: Any, now: float) -> None:
         match message:
             case Time():
-                self._spend_time(now)
+                self._handle_time(now)
             case DatagramHeard(body, address):
-                self._hear_datagram(body, address, now)
+                self._receive_datagram(body, address, now)
             case StateFetched():
-                self._hear_state(message, now)
+                self._receive_state(message, now)
             case SummaryAnswered():
-                self._hear_summary(message, now)
+                self._receive_summary(message, now)
             case ListFetched(listed):
-                self._hear_list(listed)
+                self._receive_list(listed)
             case Leave():
-                self._carry_out(self._core.leave(now))
+                self._execute(self._core.leave(now))
 
-    def _spend_time(self, now: float) -> None:
-        self._carry_out(self._core.tick(now))
-        # The tick nearest to the due time sends; ticks divide the period.
+    def _handle_time(self, now: float) -> None:
+        self._execute(self._core.tick(now))
+        # Send on the tick nearest to the due time: ticks divide the period.
         if now + self._edges.datagrams.tick_s / 2 >= self._core.heartbeat_at:
             pressure = self._edges.read_pressure()
             revision = self._edges.read_revision()
-            self._carry_out(self._core.send_heartbeat(now, pressure, revision))
+            self._execute(self._core.send_heartbeat(now, pressure, revision))
             period_s = self._core.period_s
             ticks = math.ceil(period_s / _TICK_MAX_S)
             self._edges.datagrams.tick_s = period_s / ticks
 
-    def _hear_datagram(self, body: bytes, address: str, now: float) -> None:
+    def _receive_datagram(self, body: bytes, address: str, now: float) -> None:
         match wire.decode_heartbeat(body):
             case result.Ok(heartbeat):
-                found = self._core.receive_heartbeat(heartbeat, address, now)
-                self._carry_out(found)
+                planned = self._core.receive_heartbeat(heartbeat, address, now)
+                self._execute(planned)
             case result.Err(failure):
-                self._count(failure, address)
+                self._record_failure(failure, address)
 
-    def _hear_state(self, message: StateFetched, now: float) -> None:
+    def _receive_state(self, message: StateFetched, now: float) -> None:
         answer = message.answer.and_then(wire.decode_heartbeat)
         if answer.is_err():
-            self._count(answer.unwrap_err(), message.instance)
-        found = self._core.receive_state(message.instance, answer.ok(), now)
-        self._carry_out(found)
+            self._record_failure(answer.unwrap_err(), message.instance)
+        planned = self._core.receive_state(message.instance, answer.ok(), now)
+        self._execute(planned)
 
-    def _hear_summary(self, message: SummaryAnswered, now: float) -> None:
+    def _receive_summary(self, message: SummaryAnswered, now: float) -> None:
         match message.answer.and_then(wire.decode_summary):
             case result.Ok(summary):
-                self._carry_out(self._core.summaries.receive(summary, now))
+                self._execute(self._core.summaries.receive(summary, now))
             case result.Err(failure):
-                self._count(failure, message.address)
+                self._record_failure(failure, message.address)
 
-    def _hear_list(self, listed: Listed) -> None:
+    def _receive_list(self, listed: Listed) -> None:
         self._fetching = False
         match listed:
             case result.Ok(instances):
                 self._core.receive_list(instances)
             case result.Err(failure):
-                self._count(failure, "platform")
+                self._record_failure(failure, "platform")
 
     def _serve_exchange(self, body: bytes, now: float) -> transport.Answer:
         match wire.decode_summary(body):
             case result.Ok(summary):
-                self._carry_out(self._core.summaries.receive(summary, now))
+                self._execute(self._core.summaries.receive(summary, now))
                 answer = self._core.summaries.compose(now)
                 return result.Ok(wire.encode(answer))
             case result.Err(failure):
-                self._count(failure, "exchange")
+                self._record_failure(failure, "exchange")
                 return result.Err(failure)
 
-    def _carry_out(self, found: list[actions.Action]) -> None:
-        for action in found:
+    def _execute(self, planned: list[actions.Action]) -> None:
+        for action in planned:
             match action:
                 case actions.Publish(event):
                     self._publish(event)
@@ -216,7 +216,7 @@
                 case actions.FetchList():
                     self._fetch_list()
                 case actions.Report(instance, failure):
-                    self._count(failure, instance)
+                    self._record_failure(failure, instance)
 
     def _publish(self, event: messages.Event) -> None:
         if not isinstance(event, messages.PressureHeard):
@@ -224,28 +224,28 @@
         try:
             self._edges.publish(event)
         except Exception as error:
-            self._count_fault(error, type(event).__name__)
+            self._record_exception(error, type(event).__name__)
 
     def _fetch_state(self, action: actions.FetchState) -> None:
-        def hand_on(answer: transport.Answer) -> None:
+        def on_answer(answer: transport.Answer) -> None:
             _tell(self.actor_ref, StateFetched(action.instance, answer))
 
-        self._edges.client.fetch_state(action.address, hand_on)
+        self._edges.client.fetch_state(action.address, on_answer)
 
     def _send_summary(self, action: actions.SendSummary) -> None:
-        def hand_on(answer: transport.Answer) -> None:
+        def on_answer(answer: transport.Answer) -> None:
             _tell(self.actor_ref, SummaryAnswered(action.address, answer))
 
         body = wire.encode(action.summary)
-        self._edges.client.exchange(action.address, body, hand_on)
+        self._edges.client.exchange(action.address, body, on_answer)
 
     def _fetch_list(self) -> None:
         if self._fetching:
             return
         self._fetching = True
-        self._fetcher.submit(self._ask_platform)
+        self._fetcher.submit(self._load_list)
 
-    def _ask_platform(self) -> None:
+    def _load_list(self) -> None:
         try:
             listed = self._edges.instance_list.fetch()
         except Exception as error:
@@ -253,21 +253,21 @@
             listed = result.Err(platform_errors.Unanswered(detail=str(error)))
         _tell(self.actor_ref, ListFetched(listed))
 
-    def _count_fault(self, error: Exception, during: str) -> None:
+    def _record_exception(self, error: Exception, during: str) -> None:
         self._failures[type(error).__name__] += 1
         _LOG.exception("event=membership_fault on=%s", during)
 
-    def _count(self, failure: Any, whose: str) -> None:
+    def _record_failure(self, failure: Any, source: str) -> None:
         kind = type(failure).__name__
         self._failures[kind] += 1
         level = logging.INFO
         if isinstance(failure, errors.MissingBase):
-            level = logging.DEBUG  # Each peer's first heartbeat has none.
+            level = logging.DEBUG  # Expected for each peer's first heartbeat.
         _LOG.log(
             level,
             "event=peer_failure kind=%s from=%s detail=%r",
             kind,
-            whose,
+            source,
             failure.detail,
         )
 
--- a/pollenfork/membership/core.py
+++ b/pollenfork/membership/core.py
@@ -1,6 +1,7 @@
-"""Membership decisions: who is there, whom to tell what, and when.
+"""Decision logic of the membership protocol.
 
-No I/O: time, chance and everything heard come in, actions go out.
+Does no I/O: the caller passes in the time, the random generator and received
+messages, and executes the actions that are returned.
 """
 
 from collections.abc import Iterable
@@ -28,14 +29,14 @@
 _Status = messages.MemberStatus
 
 LIST_PERIOD_S = 10.0
-_PAUSE_S = 1.0
-_FORGET_S = 2 * 3600.0
-_NOTES_LIMIT = 32
-_REFUTERS = 4
+_PAUSE_THRESHOLD_S = 1.0
+_REMOVED_TTL_S = 2 * 3600.0
+_MAX_UPDATES = 32
+_EXPECTED_SPEAKERS = 4
 
 
 class Core:
-    """The membership of one instance."""
+    """One instance's view of the cluster and its protocol state."""
 
     def __init__(
         self,
@@ -45,27 +46,27 @@
         now: float,
         seeds: tuple[str, ...] = (),
     ) -> None:
-        self._me = local_member.LocalMember(identity, incarnation)
+        self._local = local_member.LocalMember(identity, incarnation)
         self._rng = rng
         self._roster = roster.Roster()
-        self._contacts = discovery.Discovery(
+        self._discovery = discovery.Discovery(
             identity.address, identity.data_centre, seeds
         )
         self._targets = targets.Targets(
-            self._me, self._roster, self._contacts, now
+            self._local, self._roster, self._discovery, now
         )
         self._notices = leaving_notices.LeavingNotices()
         self._encoder = pressures.PressureEncoder()
-        self._answers: dict[ids.InstanceId, wire.MemberUpdate] = {}
-        self._fetches = fetch_limiter.FetchLimiter()
-        self._ticked_at = now
+        self._replies: dict[ids.InstanceId, wire.MemberUpdate] = {}
+        self._fetch_limiter = fetch_limiter.FetchLimiter()
+        self._last_tick_at = now
         self._heartbeat_at = now
-        self._list_at = now
-        self._last = self._compose(b"", now)
+        self._next_list_at = now
+        self._last_heartbeat = self._compose(b"", now)
         self.summaries = summaries.Summaries(
-            self._me,
+            self._local,
             self._roster,
-            self._contacts,
+            self._discovery,
             self._notices,
             rng,
             now,
@@ -73,36 +74,41 @@
 
     @property
     def incarnation(self) -> ids.Incarnation:
-        """This instance's own; grows when an earlier life seems later."""
-        return self._me.incarnation
+        """This instance's incarnation.
+
+        It is raised when peers know a later one from a previous run.
+        """
+        return self._local.incarnation
 
     @property
     def period_s(self) -> float:
-        """Seconds between two heartbeats, by members in the data centre."""
-        return periods.compute_heartbeat_s(self._me.members)
+        """Heartbeat period; depends on the members in the data centre."""
+        return periods.compute_heartbeat_s(self._local.members)
 
     @property
     def heartbeat_at(self) -> float:
-        """Monotonic seconds at which `beat` is due."""
+        """Monotonic seconds at which `send_heartbeat` is due."""
         return self._heartbeat_at
 
     def tick(self, now: float) -> list[actions.Action]:
-        """Checks for silence and starts what is due."""
-        if self._me.left:
+        """Detects silent members and starts periodic work that is due."""
+        if self._local.left:
             return []
-        gap = now - self._ticked_at
-        if gap > _PAUSE_S:
+        gap = now - self._last_tick_at
+        if gap > _PAUSE_THRESHOLD_S:
             self._roster.discount_pause(gap)
-        self._ticked_at = now
-        found = _publish(self._roster.check_silence(now))
-        self._me.members = 1 + sum(m.present for m in self._local_members())
-        found.extend(self.summaries.start_due(now))
-        if now >= self._list_at:
-            self._list_at = now + LIST_PERIOD_S * self._rng.uniform(0.8, 1.2)
-            self._roster.expire(now - _FORGET_S)
+        self._last_tick_at = now
+        planned = _to_publish_actions(self._roster.check_silence(now))
+        self._local.members = 1 + sum(m.present for m in self._local_members())
+        planned.extend(self.summaries.start_due(now))
+        if now >= self._next_list_at:
+            self._next_list_at = now + LIST_PERIOD_S * self._rng.uniform(
+                0.8, 1.2
+            )
+            self._roster.expire(now - _REMOVED_TTL_S)
             self._notices.expire(now)
-            found.append(actions.FetchList())
-        return found
+            planned.append(actions.FetchList())
+        return planned
 
     def send_heartbeat(
         self,
@@ -110,60 +116,67 @@
         pressure: dispatch_messages.Pressure,
         revision: ids.Revision,
     ) -> list[actions.Action]:
-        """Sends one heartbeat, with the pressure of the moment."""
-        if self._me.left:
+        """Sends one heartbeat with the current pressure."""
+        if self._local.left:
             return []
-        self._me.revision = revision
+        self._local.revision = revision
         self._notices.record(pressure.leaving, now, remote=False)
-        body = self._encoder.encode_delta(pressure, now)
-        self._me.sequence += 1
-        self._last = self._compose(body, now)
-        self._answers.clear()
+        delta = self._encoder.encode_delta(pressure, now)
+        self._local.sequence += 1
+        self._last_heartbeat = self._compose(delta, now)
+        self._replies.clear()
         self._heartbeat_at = max(self._heartbeat_at + self.period_s, now)
-        return self._targets.plan_sends(self._last, self.period_s, now)
+        return self._targets.plan_sends(
+            self._last_heartbeat, self.period_s, now
+        )
 
     def leave(self, now: float) -> list[actions.Action]:
-        """Says goodbye, twice because datagrams get lost; nothing follows."""
-        if self._me.left:
+        """Announces the departure; nothing is sent afterwards.
+
+        The last heartbeat is sent twice because datagrams may be lost.
+        """
+        if self._local.left:
             return []
-        self._me.left = True
-        found: list[actions.Action] = []
+        self._local.left = True
+        planned: list[actions.Action] = []
         for _ in range(2):
-            self._me.sequence += 1
-            self._last = self._compose(b"", now)
-            everyone = self._targets.list_addresses(now)
-            found.append(actions.SendHeartbeat(everyone, self._last))
-        return found + self.summaries.start_round(now)
+            self._local.sequence += 1
+            self._last_heartbeat = self._compose(b"", now)
+            recipients = self._targets.select_recipients(now)
+            planned.append(
+                actions.SendHeartbeat(recipients, self._last_heartbeat)
+            )
+        return planned + self.summaries.start_round(now)
 
     def receive_heartbeat(
         self, heartbeat: wire.Heartbeat, address: str, now: float
     ) -> list[actions.Action]:
-        """Takes in a heartbeat; `address` is where it came from."""
+        """Processes a heartbeat that came from `address`."""
         if not heartbeat.instance:
-            return self._hear_short(heartbeat, address, now)
-        if heartbeat.instance == self._me.identity.instance:
+            return self._receive_short(heartbeat, address, now)
+        if heartbeat.instance == self._local.identity.instance:
             return []
-        if heartbeat.data_centre != self._me.identity.data_centre:
+        if heartbeat.data_centre != self._local.identity.data_centre:
             return []
         newer, events = self._roster.receive(
             liveness.from_heartbeat(heartbeat, address), now
         )
-        found = _publish(events)
+        planned = _to_publish_actions(events)
         member = self._roster.find(heartbeat.instance)
         if member is None or not newer:
-            self._answer_stale(heartbeat, address, now)
-            return found
+            self._reply_to_stale(heartbeat, address, now)
+            return planned
         if not member.present:
-            return found
-        found.extend(self._hear_pressure(member, heartbeat, now))
-        found.extend(
-            self._hear_leaving(heartbeat.leaving, member, now, remote=True)
+            return planned
+        planned.extend(self._receive_pressure(member, heartbeat, now))
+        planned.extend(
+            self._record_leaving(heartbeat.leaving, member, now, remote=True)
         )
-        for note in heartbeat.notes:
-            found.extend(self._hear_note(note, now))
-        return found
+        for update in heartbeat.updates:
+            planned.extend(self._receive_update(update, now))
+        return planned
 
-    def _hear_short(
+    def _receive_short(
         self, heartbeat: wire.Heartbeat, address: str, now: float
     ) -> list[actions.Action]:
         member = self._roster.find_at(address)
@@ -182,91 +195,99 @@
         heartbeat: wire.Heartbeat | None,
         now: float,
     ) -> list[actions.Action]:
-        """Takes in the answer of `instance` to `FetchState`; None for none.
+        """Processes the answer of `instance` to `FetchState`; None for failure.
 
-        A new instance thereby learns of members that its list lacks.
+        A new instance also learns of members that its list lacks.
         """
-        self._fetches.finish(instance)
+        self._fetch_limiter.finish(instance)
         if heartbeat is None:
             return []
         member = self._roster.find(heartbeat.instance)
         if member is None or heartbeat.incarnation != member.incarnation:
             return []
-        have = member.decoder.sequence
-        if not member.present or (have and heartbeat.sequence <= have):
+        known_sequence = member.decoder.sequence
+        if not member.present or (
+            known_sequence and heartbeat.sequence <= known_sequence
+        ):
             return []
-        found = self._apply_pressure(member, heartbeat, now)
-        for note in heartbeat.notes:
-            found.extend(self._hear_note(note, now))
-        return found
+        planned = self._apply_pressure(member, heartbeat, now)
+        for update in heartbeat.updates:
+            planned.extend(self._receive_update(update, now))
+        return planned
 
     def receive_list(self, listed: Iterable[edges.ListedInstance]) -> None:
-        """Takes in the platform's list, however stale it may be."""
-        self._contacts.set_listed(listed)
+        """Updates the addresses from the platform's list, possibly stale."""
+        self._discovery.set_listed(listed)
 
     def compose_state(self) -> wire.Heartbeat:
-        """Returns the last heartbeat with all pressure and all members."""
+        """Returns the last heartbeat with full pressure and all members."""
         members = self._local_members()
         return msgspec.structs.replace(
-            self._last,
+            self._last_heartbeat,
             pressure=self._encoder.encode_full(),
-            notes=tuple(m.compose_note() for m in members if m.present),
+            updates=tuple(m.compose_update() for m in members if m.present),
         )
 
     def view(self, now: float) -> tuple[messages.MemberView, ...]:
         """Returns this instance and all others, sorted by name."""
         views = [member.compose_view(now) for member in self._roster]
-        views.append(self._me.compose_view())
+        views.append(self._local.compose_view())
         return tuple(sorted(views, key=lambda view: view.instance))
 
     def _local_members(self) -> list[roster.Member]:
-        centre = self._me.identity.data_centre
+        centre = self._local.identity.data_centre
         return [m for m in self._roster if m.data_centre == centre]
 
-    def _compose(self, body: bytes, now: float) -> wire.Heartbeat:
+    def _compose(self, delta: bytes, now: float) -> wire.Heartbeat:
         return wire.Heartbeat(
             format=wire.FORMAT,
-            instance=self._me.identity.instance,
-            data_centre=self._me.identity.data_centre,
-            incarnation=self._me.incarnation,
-            sequence=self._me.sequence,
+            instance=self._local.identity.instance,
+            data_centre=self._local.identity.data_centre,
+            incarnation=self._local.incarnation,
+            sequence=self._local.sequence,
             period_ms=int(self.period_s * 1000),
-            status=self._me.status,
-            revision=self._me.revision,
-            pressure=body,
-            notes=tuple(self._compose_notes(now)),
+            status=self._local.status,
+            revision=self._local.revision,
+            pressure=delta,
+            updates=tuple(self._compose_updates(now)),
             leaving=self._notices.list_relayed(now),
         )
 
-    def _compose_notes(self, now: float) -> list[wire.MemberUpdate]:
-        notes = list(self._answers.values())
+    def _compose_updates(self, now: float) -> list[wire.MemberUpdate]:
+        updates = list(self._replies.values())
         for member in self._local_members():
             recent = now - member.changed_at < 2 * self.period_s
             left = member.status is _Status.LEFT and recent
             suspected = member.status is _Status.SUSPECTED
-            if suspected or (left and self._is_chosen()):
-                notes.append(member.compose_note())
-        return notes[:_NOTES_LIMIT]
+            if suspected or (left and self._is_sampled()):
+                updates.append(member.compose_update())
+        return updates[:_MAX_UPDATES]
+
+    def _is_sampled(self) -> bool:
+        """Returns whether this instance sends an update that all could send.
 
-    def _is_chosen(self) -> bool:
-        """Lets about four of the members speak where all could."""
-        return self._rng.random() < _REFUTERS / self._me.members
+        True for about four members of the data centre on average.
+        """
+        return self._rng.random() < _EXPECTED_SPEAKERS / self._local.members
 
-    def _answer_stale(
+    def _reply_to_stale(
         self, heartbeat: wire.Heartbeat, address: str, now: float
     ) -> None:
-        """Tells a restarted instance whose clock fell back what it was."""
+        """Sends a restarted instance the later incarnation known of it.
+
+        Its clock was set back, so that its new incarnation is the lower one.
+        """
         member = self._roster.find(heartbeat.instance)
         if member is None or heartbeat.status is _Status.LEFT:
             return
         stale = heartbeat.incarnation < member.incarnation
         same = heartbeat.incarnation == member.incarnation
         if stale or (same and member.status is _Status.LEFT):
-            member.strange_at = now
-            self._answers[member.instance] = member.compose_note()
-            self._contacts.probe_now(address, now)
+            member.unrecognized_at = now
+            self._replies[member.instance] = member.compose_update()
+            self._discovery.probe_now(address, now)
 
-    def _hear_pressure(
+    def _receive_pressure(
         self, member: roster.Member, heartbeat: wire.Heartbeat, now: float
     ) -> list[actions.Action]:
         if not heartbeat.pressure:
@@ -280,24 +301,24 @@
         if decoded.is_err():
             failure = decoded.unwrap_err()
             report = actions.Report(member.instance, failure)
-            return [report, *self._fetch_whole(member)]
+            return [report, *self._fetch_full(member)]
         pressure = decoded.unwrap()
-        heard = messages.PressureHeard(
+        pressure_heard = messages.PressureHeard(
             incarnation=member.incarnation,
             sequence=member.decoder.sequence or 0,
             pressure=pressure,
         )
-        found: list[actions.Action] = [actions.Publish(heard)]
-        return found + self._hear_leaving(
+        planned: list[actions.Action] = [actions.Publish(pressure_heard)]
+        return planned + self._record_leaving(
             pressure.leaving, member, now, remote=False
         )
 
-    def _fetch_whole(self, member: roster.Member) -> list[actions.Action]:
-        if not self._fetches.try_start(member.instance):
+    def _fetch_full(self, member: roster.Member) -> list[actions.Action]:
+        if not self._fetch_limiter.try_start(member.instance):
             return []
         return [actions.FetchState(member.instance, member.address)]
 
-    def _hear_leaving(
+    def _record_leaving(
         self,
         endpoints: tuple[ids.EndpointId, ...],
         member: roster.Member,
@@ -307,45 +328,47 @@
     ) -> list[actions.Action]:
         if not endpoints:
             return []
-        news = self._notices.record(endpoints, now, remote=remote)
-        return _publish(
+        added = self._notices.record(endpoints, now, remote=remote)
+        return _to_publish_actions(
             messages.EndpointLeavingHeard(
                 endpoint=endpoint, heard_from=member.instance
             )
-            for endpoint in news
+            for endpoint in added
         )
 
-    def _hear_note(
-        self, note: wire.MemberUpdate, now: float
+    def _receive_update(
+        self, update: wire.MemberUpdate, now: float
     ) -> list[actions.Action]:
-        if note.instance == self._me.identity.instance:
-            self._me.receive_update(note)
+        if update.instance == self._local.identity.instance:
+            self._local.receive_update(update)
             return []
-        member = self._roster.find(note.instance)
-        unheard = member is None or note.incarnation > member.incarnation
-        if unheard and note.status in (_Status.LIVE, _Status.SUSPECTED):
-            self._contacts.add_hint(note.address, now)
-        if member is None or note.incarnation < member.incarnation:
+        member = self._roster.find(update.instance)
+        unheard = member is None or update.incarnation > member.incarnation
+        if unheard and update.status in (_Status.LIVE, _Status.SUSPECTED):
+            self._discovery.add_hint(update.address, now)
+        if member is None or update.incarnation < member.incarnation:
             return []
-        if note.status is _Status.LEFT:
-            events = self._roster.mark_left(member, note.incarnation, now)
-            return _publish(events)
-        if note.incarnation > member.incarnation:
+        if update.status is _Status.LEFT:
+            events = self._roster.mark_left(member, update.incarnation, now)
+            return _to_publish_actions(events)
+        if update.incarnation > member.incarnation:
             return []
-        if note.status is _Status.LIVE:
-            events = self._roster.refute(member, note.sequence, now)
-            return _publish(events)
-        self._refute_for(member, note)
+        if update.status is _Status.LIVE:
+            events = self._roster.refute(member, update.sequence, now)
+            return _to_publish_actions(events)
+        self._refute_suspicion(member, update)
         return []
 
-    def _refute_for(
-        self, member: roster.Member, note: wire.MemberUpdate
+    def _refute_suspicion(
+        self, member: roster.Member, update: wire.MemberUpdate
     ) -> None:
         if member.status is not _Status.LIVE:
             return
-        if member.known_sequence > note.sequence and self._is_chosen():
-            self._answers[member.instance] = member.compose_note()
+        if member.known_sequence > update.sequence and self._is_sampled():
+            self._replies[member.instance] = member.compose_update()
 
 
-def _publish(events: Iterable[messages.Event]) -> list[actions.Action]:
+def _to_publish_actions(
+    events: Iterable[messages.Event],
+) -> list[actions.Action]:
     return [actions.Publish(event) for event in events]
--- a/pollenfork/membership/discovery.py
+++ b/pollenfork/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Addresses at which instances may be found: hints, never members."""
+"""Candidate addresses of other instances, which aren't members yet."""
 
 from collections.abc import Iterable
 import random
@@ -6,45 +6,45 @@
 from pollenfork import ids
 from pollenfork.store import edges
 
-_PROBE_S = 2.0
-_HINT_S = 60.0
+_PROBE_INTERVAL_S = 2.0
+_HINT_TTL_S = 60.0
 
 
 class Discovery:
-    """Addresses from the platform's list, from seeds and from peers' notes.
+    """Addresses from the platform's list, from seeds and from peers' updates.
 
-    A hint makes this instance send heartbeats there; only an answer makes a
-    member, so a stale list brings nobody back.
+    This instance sends heartbeats to them; only an answer makes a member, so
+    that a stale list doesn't bring back an instance that is gone.
     """
 
     def __init__(
         self, own_address: str, data_centre: ids.DataCentre, seeds: tuple
     ) -> None:
-        self._own = own_address
+        self._own_address = own_address
         self._data_centre = data_centre
         self._seeds = tuple(seed for seed in seeds if seed != own_address)
         self._listed: dict[str, ids.DataCentre] = {}
         self._hints: dict[str, float] = {}
-        self._probed: dict[str, float] = {}
+        self._probed_at: dict[str, float] = {}
 
     def set_listed(self, listed: Iterable[edges.ListedInstance]) -> None:
-        """Replaces the hints of the platform's earlier list."""
+        """Replaces the addresses of the platform's earlier list."""
         self._listed = {
             entry.address: entry.data_centre
             for entry in listed
             if entry.role is edges.InstanceRole.ENTRY
-            and entry.address != self._own
+            and entry.address != self._own_address
         }
 
     def add_hint(self, address: str, now: float) -> None:
-        """Remembers an address of this data centre for a minute."""
-        if address != self._own:
-            self._hints[address] = now + _HINT_S
+        """Keeps an address of this data centre for a minute."""
+        if address != self._own_address:
+            self._hints[address] = now + _HINT_TTL_S
 
     def probe_now(self, address: str, now: float) -> None:
-        """Makes the address due for the next heartbeat, which answers it."""
+        """Includes the address in the next heartbeat, as an answer to it."""
         self.add_hint(address, now)
-        self._probed.pop(address, None)
+        self._probed_at.pop(address, None)
 
     def take_due_probes(self, known: set[str], now: float) -> list[str]:
         """Returns addresses to probe now, each at most every two seconds.
@@ -53,16 +53,23 @@
             known: Addresses of present members, which are left out.
             now: Monotonic seconds.
         """
-        self._hints = {a: t for a, t in self._hints.items() if t > now}
+        self._hints = {
+            address: at for address, at in self._hints.items() if at > now
+        }
         listed = [a for a, d in self._listed.items() if d == self._data_centre]
-        wanted = {*self._seeds, *listed, *self._hints} - known
-        self._probed = {a: t for a, t in self._probed.items() if a in wanted}
+        candidates = {*self._seeds, *listed, *self._hints} - known
+        self._probed_at = {
+            address: at
+            for address, at in self._probed_at.items()
+            if address in candidates
+        }
         due = sorted(
             address
-            for address in wanted
-            if now - self._probed.get(address, -_PROBE_S) >= _PROBE_S
+            for address in candidates
+            if now - self._probed_at.get(address, -_PROBE_INTERVAL_S)
+            >= _PROBE_INTERVAL_S
         )
-        self._probed.update(dict.fromkeys(due, now))
+        self._probed_at.update(dict.fromkeys(due, now))
         return due
 
     def choose_remote(
@@ -72,7 +79,7 @@
 
         Args:
             members: Addresses of present members by data centre.
-            rng: The source of chance.
+            rng: Random generator.
         """
         pools = {
             centre: set(addresses) for centre, addresses in members.items()
--- a/pollenfork/membership/leaving_notices.py
+++ b/pollenfork/membership/leaving_notices.py
@@ -1,24 +1,24 @@
-"""Endpoints that members say are leaving, and who still has to hear it."""
+"""Notices of endpoints that are leaving, and their dissemination."""
 
 import msgspec
 
 from pollenfork import ids
 
-_RELAY_S = 10.0
-_FORGET_S = 60.0
+_RELAY_PERIOD_S = 10.0
+_EXPIRY_S = 60.0
 
 
 class _Notice(msgspec.Struct):
-    local_at: float  # Last heard inside this data centre.
-    remote_at: float  # Last heard from another one.
+    local_at: float  # Last received from inside this data centre.
+    remote_at: float  # Last received from another data centre.
     relay_until: float
 
 
 class LeavingNotices:
-    """Passes notices on between data centres without a loop.
+    """Relays notices between data centres without a loop.
 
-    What is heard inside goes out in summaries; what comes in with a summary
-    goes to this data centre's heartbeats for a while, and no further.
+    Notices from inside are sent in summaries; those that arrive in a summary
+    are relayed in this data centre's heartbeats for a while, and no further.
     """
 
     def __init__(self) -> None:
@@ -32,48 +32,49 @@
         remote: bool,
         relay: bool = False,
     ) -> list[ids.EndpointId]:
-        """Records notices and returns the endpoints that are news.
+        """Records notices and returns the endpoints not known before.
 
         Args:
-            endpoints: The endpoints said to be leaving.
+            endpoints: The endpoints that are leaving.
             now: Monotonic seconds.
-            remote: The notice began in another data centre.
-            relay: This instance was told by that data centre itself.
+            remote: The notice originates in another data centre.
+            relay: It came directly from that data centre, so this instance
+                relays it in its own.
         """
-        news = []
+        added = []
         for endpoint in endpoints:
             notice = self._notices.get(endpoint)
             if notice is None:
-                notice = _Notice(-_FORGET_S, -_FORGET_S, 0.0)
-                notice.relay_until = now + _RELAY_S if relay else 0.0
+                notice = _Notice(-_EXPIRY_S, -_EXPIRY_S, 0.0)
+                notice.relay_until = now + _RELAY_PERIOD_S if relay else 0.0
                 self._notices[endpoint] = notice
-                news.append(endpoint)
+                added.append(endpoint)
             if remote:
                 notice.remote_at = now
             else:
                 notice.local_at = now
-        return news
+        return added
 
     def expire(self, now: float) -> None:
-        """Drops notices that nobody repeats; a later one is news again."""
-        old = [
+        """Drops notices no longer repeated; a later one counts as new."""
+        expired = [
             endpoint
             for endpoint, notice in self._notices.items()
-            if now - max(notice.local_at, notice.remote_at) > _FORGET_S
+            if now - max(notice.local_at, notice.remote_at) > _EXPIRY_S
         ]
-        for endpoint in old:
+        for endpoint in expired:
             del self._notices[endpoint]
 
     def list_local(self, now: float) -> tuple[ids.EndpointId, ...]:
-        """Returns what other data centres should hear from this one."""
+        """Returns the endpoints to announce to other data centres."""
         return tuple(
             endpoint
             for endpoint, notice in self._notices.items()
-            if now - notice.local_at <= _RELAY_S
+            if now - notice.local_at <= _RELAY_PERIOD_S
         )
 
     def list_relayed(self, now: float) -> tuple[ids.EndpointId, ...]:
-        """Returns what this data centre should hear of the others."""
+        """Returns remote notices to announce in this data centre."""
         return tuple(
             endpoint
             for endpoint, notice in self._notices.items()
--- a/pollenfork/membership/liveness.py
+++ b/pollenfork/membership/liveness.py
@@ -1,4 +1,4 @@
-"""Signs of members, read from heartbeats and from summaries."""
+"""Evidence of members' state, from heartbeats and summaries."""
 
 import msgspec
 
@@ -9,12 +9,12 @@
 
 
 class Evidence(msgspec.Struct, frozen=True, kw_only=True):
-    """A sign of a member, from itself or from another.
+    """What one message shows about a member.
 
     Attributes:
-        direct: The member itself was heard.
-        silence_s: Silence after which it is suspected.
-        removal_s: Further silence after which it is removed.
+        direct: The member itself sent the message.
+        silence_timeout_s: Silence after which the member is suspected.
+        removal_timeout_s: Further silence after which it is removed.
     """
 
     instance: ids.InstanceId
@@ -25,12 +25,12 @@
     address: str
     revision: ids.Revision
     direct: bool
-    silence_s: float
-    removal_s: float
+    silence_timeout_s: float
+    removal_timeout_s: float
 
 
 def from_heartbeat(heartbeat: wire.Heartbeat, address: str) -> Evidence:
-    """Returns what a heartbeat from `address` proves of its sender."""
+    """Returns the evidence that a heartbeat from `address` gives."""
     period_s = heartbeat.period_ms / 1000
     return Evidence(
         instance=heartbeat.instance,
@@ -41,30 +41,30 @@
         address=address,
         revision=heartbeat.revision,
         direct=True,
-        silence_s=periods.compute_silence_timeout_s(period_s),
-        removal_s=periods.compute_removal_timeout_s(period_s),
+        silence_timeout_s=periods.compute_silence_timeout_s(period_s),
+        removal_timeout_s=periods.compute_removal_timeout_s(period_s),
     )
 
 
 def from_summary_entry(
     entry: wire.Entry, data_centre: ids.DataCentre, period_s: float
 ) -> Evidence:
-    """Returns what another data centre's summary says of a member.
+    """Returns the evidence that another data centre's summary gives.
 
     Args:
-        entry: The member's line in the summary.
-        data_centre: Where the summary comes from.
+        entry: The member's entry in the summary.
+        data_centre: The data centre that sent the summary.
         period_s: Seconds between two summaries.
     """
     return Evidence(
-        instance=entry.note.instance,
-        incarnation=entry.note.incarnation,
-        sequence=entry.note.sequence,
-        status=entry.note.status,
+        instance=entry.update.instance,
+        incarnation=entry.update.incarnation,
+        sequence=entry.update.sequence,
+        status=entry.update.status,
         data_centre=data_centre,
-        address=entry.note.address,
+        address=entry.update.address,
         revision=entry.revision,
         direct=False,
-        silence_s=periods.compute_silence_timeout_s(period_s),
-        removal_s=periods.compute_removal_timeout_s(period_s),
+        silence_timeout_s=periods.compute_silence_timeout_s(period_s),
+        removal_timeout_s=periods.compute_removal_timeout_s(period_s),
     )
--- a/pollenfork/membership/local_member.py
+++ b/pollenfork/membership/local_member.py
@@ -1,4 +1,4 @@
-"""What this instance says of itself."""
+"""The state that this instance announces of itself."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who this instance is; `address` is its peer address."""
+    """Identifies this instance; `address` is its peer address."""
 
     instance: ids.InstanceId
     data_centre: ids.DataCentre
@@ -19,11 +19,12 @@
 
 
 class LocalMember(msgspec.Struct):
-    """This instance's own entry; nobody else ever changes its status.
+    """This instance as a member; only itself changes its status.
 
     Attributes:
         sequence: Of the last heartbeat sent.
-        members: Members present in this data centre, this one included.
+        members: Number of present members in this data centre, including
+            this one.
     """
 
     identity: Identity
@@ -38,8 +39,8 @@
         """Returns `LIVE` until this instance leaves."""
         return _Status.LEFT if self.left else _Status.LIVE
 
-    def compose_note(self) -> wire.MemberUpdate:
-        """Returns what a summary says of this instance."""
+    def compose_update(self) -> wire.MemberUpdate:
+        """Returns this instance's state for a summary."""
         return wire.MemberUpdate(
             self.identity.instance,
             self.incarnation,
@@ -49,7 +50,7 @@
         )
 
     def compose_view(self) -> messages.MemberView:
-        """Returns what operators see of this instance."""
+        """Returns this instance's state for operators."""
         return messages.MemberView(
             instance=self.identity.instance,
             incarnation=self.incarnation,
@@ -60,17 +61,17 @@
             heard_s_ago=0.0,
         )
 
-    def receive_update(self, note: wire.MemberUpdate) -> None:
-        """Takes a later incarnation when an earlier life seems later.
+    def receive_update(self, update: wire.MemberUpdate) -> None:
+        """Raises the incarnation above that of a previous run.
 
-        Another live process of the same name at another address is left
-        alone: this one may be the older of the two.
+        A live process of the same name at another address is ignored: this
+        one may be the older of the two.
         """
-        if self.left or note.incarnation < self.incarnation:
+        if self.left or update.incarnation < self.incarnation:
             return
-        ours = note.address == self.identity.address
-        later = note.incarnation > self.incarnation
-        if (later and (ours or note.status in _GONE)) or (
-            note.status is _Status.LEFT
+        ours = update.address == self.identity.address
+        later = update.incarnation > self.incarnation
+        if (later and (ours or update.status in _GONE)) or (
+            update.status is _Status.LEFT
         ):
-            self.incarnation = ids.Incarnation(note.incarnation + 1)
+            self.incarnation = ids.Incarnation(update.incarnation + 1)
--- a/pollenfork/membership/roster.py
+++ b/pollenfork/membership/roster.py
@@ -1,8 +1,8 @@
-"""What is known of the other entry instances, and which evidence wins.
+"""State of the other entry instances, and precedence of evidence.
 
-Evidence is ordered by incarnation, then by the sequence of the heartbeat it
-goes back to. Leaving is final for an incarnation. A lost member comes back
-only with a later sequence, which only the living member can have produced.
+Evidence is ordered by incarnation, then by the sequence of the heartbeat that
+it derives from. Leaving is final for an incarnation. A lost member comes back
+only with a later sequence, which only a running member can have produced.
 """
 
 from collections.abc import Iterator
@@ -23,12 +23,13 @@
     """One other entry instance.
 
     Attributes:
-        sequence: The last heartbeat heard from the member itself.
-        known_sequence: The last one that anyone is known to have heard.
-        heard_at: Monotonic seconds of the last sign of life.
+        sequence: Of the last heartbeat received from the member itself.
+        known_sequence: Of the last one that any instance is known to have
+            received.
+        heard_at: Monotonic seconds of the last evidence that it is alive.
         changed_at: Monotonic seconds of the last change of status.
-        strange_at: Monotonic seconds at which it last seemed not to know this
-            instance.
+        unrecognized_at: Monotonic seconds at which the member last seemed not
+            to know this instance.
     """
 
     instance: ids.InstanceId
@@ -41,13 +42,13 @@
     known_sequence: int
     heard_at: float
     changed_at: float
-    silence_s: float
-    removal_s: float
-    strange_at: float = -1e9
+    silence_timeout_s: float
+    removal_timeout_s: float
+    unrecognized_at: float = -1e9
     decoder: pressures.PressureDecoder
 
     def compose_view(self, now: float) -> messages.MemberView:
-        """Returns what operators see of the member."""
+        """Returns the member's state for operators."""
         return messages.MemberView(
             instance=self.instance,
             incarnation=self.incarnation,
@@ -60,11 +61,11 @@
 
     @property
     def present(self) -> bool:
-        """Whether the member counts: live, or suspected but not removed."""
+        """Whether the member is live, or suspected but not removed."""
         return self.status in _PRESENT
 
-    def compose_note(self) -> wire.MemberUpdate:
-        """Returns what this instance tells others of the member."""
+    def compose_update(self) -> wire.MemberUpdate:
+        """Returns the member's state to send to others."""
         return wire.MemberUpdate(
             self.instance,
             self.incarnation,
@@ -75,32 +76,32 @@
 
 
 class Roster:
-    """The other instances by name; turns evidence into events."""
+    """Tracks the other instances and turns evidence into events."""
 
     def __init__(self) -> None:
         self._members: dict[ids.InstanceId, Member] = {}
-        self._names: dict[str, ids.InstanceId] = {}
+        self._by_address: dict[str, ids.InstanceId] = {}
 
     def find(self, instance: ids.InstanceId) -> Member | None:
-        """Returns what is known of the instance, removed ones included."""
+        """Returns the member of that name, even if it was removed."""
         return self._members.get(instance)
 
     def find_at(self, address: str) -> Member | None:
-        """Returns the member last heard from the address."""
-        name = self._names.get(address)
-        return self._members.get(name) if name else None
+        """Returns the member that last used the address."""
+        instance = self._by_address.get(address)
+        return self._members.get(instance) if instance else None
 
     def __iter__(self) -> Iterator[Member]:
-        """Yields every instance known, removed ones included."""
+        """Iterates over all members, including removed ones."""
         return iter(self._members.values())
 
     def receive(
         self, evidence: liveness.Evidence, now: float
     ) -> tuple[bool, list[messages.Event]]:
-        """Takes in a sign of a member.
+        """Applies evidence about a member.
 
         Returns:
-            Whether the evidence was newer than what was known, and events.
+            Whether the evidence was newer than the known state, and events.
         """
         member = self._members.get(evidence.instance)
         if member is None:
@@ -108,16 +109,16 @@
         if evidence.incarnation < member.incarnation:
             return False, []
         if evidence.incarnation > member.incarnation:
-            events = self._lose(member, now)
+            events = self._mark_lost(member, now)
             return True, events + self._add(evidence, now)
-        return self._advance(member, evidence, now)
+        return self._update(member, evidence, now)
 
     def mark_left(
         self, member: Member, incarnation: ids.Incarnation, now: float
     ) -> list[messages.Event]:
-        """Records that the incarnation has left, whoever said it."""
-        known = member.status is _Status.LEFT
-        if known and incarnation <= member.incarnation:
+        """Records that the incarnation left, whichever instance reported it."""
+        already_left = member.status is _Status.LEFT
+        if already_left and incarnation <= member.incarnation:
             return []
         events: list[messages.Event] = []
         if member.present and incarnation == member.incarnation:
@@ -126,7 +127,7 @@
             )
             events.append(left)
         elif member.present:
-            events.extend(self._lose(member, now))
+            events.extend(self._mark_lost(member, now))
         member.incarnation = incarnation
         _set_status(member, _Status.LEFT, now)
         return events
@@ -134,46 +135,49 @@
     def refute(
         self, member: Member, sequence: int, now: float
     ) -> list[messages.Event]:
-        """Ends a suspicion, as someone heard a later heartbeat."""
+        """Ends a suspicion because another instance got a later heartbeat."""
         if sequence <= member.known_sequence:
             return []
         if member.status is not _Status.SUSPECTED:
             return []
         member.known_sequence = sequence
         member.heard_at = now
-        return self._confirm(member, now)
+        return self._mark_live(member, now)
 
     def check_silence(self, now: float) -> list[messages.Event]:
-        """Suspects silent members and removes those suspected for long."""
+        """Suspects silent members and removes those suspected too long."""
         events: list[messages.Event] = []
         for member in self._members.values():
-            silent_s = now - member.heard_at
-            suspected_s = now - member.changed_at
-            if member.status is _Status.LIVE and silent_s >= member.silence_s:
+            silent_for_s = now - member.heard_at
+            suspected_for_s = now - member.changed_at
+            if (
+                member.status is _Status.LIVE
+                and silent_for_s >= member.silence_timeout_s
+            ):
                 events.extend(_suspect(member, now))
             elif (
                 member.status is _Status.SUSPECTED
-                and suspected_s >= member.removal_s
+                and suspected_for_s >= member.removal_timeout_s
             ):
-                events.extend(self._lose(member, now))
+                events.extend(self._mark_lost(member, now))
         return events
 
     def discount_pause(self, seconds: float) -> None:
-        """Doesn't count time in which this instance itself was paused."""
+        """Excludes time in which this instance was paused from timeouts."""
         for member in self._members.values():
             member.heard_at += seconds
             if member.status is _Status.SUSPECTED:
                 member.changed_at += seconds
 
     def expire(self, before: float) -> None:
-        """Drops those removed or left before a monotonic time."""
-        old = [
+        """Drops members that were removed or left before a monotonic time."""
+        expired = [
             member.instance
             for member in self._members.values()
             if not member.present and member.changed_at < before
         ]
-        for instance in old:
-            self._names.pop(self._members[instance].address, None)
+        for instance in expired:
+            self._by_address.pop(self._members[instance].address, None)
             del self._members[instance]
 
     def _add(
@@ -190,18 +194,18 @@
             known_sequence=evidence.sequence,
             heard_at=now,
             changed_at=now,
-            silence_s=evidence.silence_s,
-            removal_s=evidence.removal_s,
+            silence_timeout_s=evidence.silence_timeout_s,
+            removal_timeout_s=evidence.removal_timeout_s,
             decoder=pressures.PressureDecoder(evidence.instance),
         )
         self._members[evidence.instance] = member
-        self._names[evidence.address] = evidence.instance
+        self._by_address[evidence.address] = evidence.instance
         if not member.present:
             return []
         member.status = _Status.LIVE
-        return [_joined(member), *_take_revision(member, evidence)]
+        return [_make_joined(member), *_update_revision(member, evidence)]
 
-    def _advance(
+    def _update(
         self, member: Member, evidence: liveness.Evidence, now: float
     ) -> tuple[bool, list[messages.Event]]:
         if member.status is _Status.LEFT:
@@ -212,28 +216,30 @@
             return False, []
         if evidence.status is _Status.LOST:
             member.known_sequence = evidence.sequence
-            return True, self._lose(member, now)
-        _take_evidence(member, evidence, now)
-        self._names[member.address] = member.instance
-        events = self._confirm(member, now)
-        return True, events + _take_revision(member, evidence)
+            return True, self._mark_lost(member, now)
+        _apply_evidence(member, evidence, now)
+        self._by_address[member.address] = member.instance
+        events = self._mark_live(member, now)
+        return True, events + _update_revision(member, evidence)
 
-    def _confirm(self, member: Member, now: float) -> list[messages.Event]:
+    def _mark_live(self, member: Member, now: float) -> list[messages.Event]:
         if member.status is _Status.LIVE:
             return []
-        was = member.status
+        previous_status = member.status
         _set_status(member, _Status.LIVE, now)
-        if was is _Status.LOST:
+        if previous_status is _Status.LOST:
             member.decoder = pressures.PressureDecoder(member.instance)
-            member.revision = ids.Revision(0)  # Who lost it forgot that too.
-            return [_joined(member)]
+            member.revision = ids.Revision(
+                0
+            )  # Listeners dropped it with the loss.
+            return [_make_joined(member)]
         return [
             messages.SuspicionRefuted(
                 instance=member.instance, incarnation=member.incarnation
             )
         ]
 
-    def _lose(self, member: Member, now: float) -> list[messages.Event]:
+    def _mark_lost(self, member: Member, now: float) -> list[messages.Event]:
         if not member.present:
             return []
         _set_status(member, _Status.LOST, now)
@@ -254,7 +260,7 @@
     return evidence.sequence > member.known_sequence
 
 
-def _take_evidence(
+def _apply_evidence(
     member: Member, evidence: liveness.Evidence, now: float
 ) -> None:
     if evidence.direct:
@@ -262,11 +268,11 @@
     member.known_sequence = max(member.known_sequence, evidence.sequence)
     member.address = evidence.address
     member.heard_at = now
-    member.silence_s = evidence.silence_s
-    member.removal_s = evidence.removal_s
+    member.silence_timeout_s = evidence.silence_timeout_s
+    member.removal_timeout_s = evidence.removal_timeout_s
 
 
-def _take_revision(
+def _update_revision(
     member: Member, evidence: liveness.Evidence
 ) -> list[messages.Event]:
     if evidence.revision == member.revision:
@@ -289,7 +295,7 @@
     return [suspected]
 
 
-def _joined(member: Member) -> messages.MemberJoined:
+def _make_joined(member: Member) -> messages.MemberJoined:
     return messages.MemberJoined(
         instance=member.instance,
         incarnation=member.incarnation,
--- a/pollenfork/membership/tests/network.py
+++ b/pollenfork/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""An in-test network of membership cores: drops, delays, copies, cuts."""
+"""Simulated network of cores: losses, delays, duplicates and partitions."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """One instance: its core while it runs, and all it ever published."""
+    """One instance: its core while it runs, and its published events."""
 
     def __init__(self, name: str, data_centre: str) -> None:
         self.name = name
@@ -37,10 +37,11 @@
         self.sent: list[dispatch_messages.Pressure] = []
         self.leaving: tuple[ids.EndpointId, ...] = ()
         self.revision = ids.Revision(1)
-        self.knows: set[str] | None = None  # Names its list is cut down to.
+        # Restricts the list of instances that this node gets.
+        self.listed_names: set[str] | None = None
 
     def present(self, now: float) -> dict[str, int]:
-        """Returns the incarnations that this node counts as present."""
+        """Returns the incarnations of the members present at this node."""
         assert self.core
         return {
             view.instance: view.incarnation
@@ -88,7 +89,7 @@
             random.Random(self.rng.random()),
             self.now,
         )
-        node.events.clear()  # A new life knows nothing of the old one.
+        node.events.clear()  # A new process hasn't seen the old events.
 
     def kill(self, name: str) -> None:
         self.nodes[name].core = None
@@ -96,7 +97,7 @@
     def leave(self, name: str) -> None:
         node = self.nodes[name]
         assert node.core
-        self.carry_out(node, node.core.leave(self.now))
+        self.execute(node, node.core.leave(self.now))
         self.kill(name)
 
     def running(self) -> list[Node]:
@@ -109,8 +110,8 @@
             for node in self.running():
                 self._tick(node)
 
-    def carry_out(self, node: Node, found: list[actions.Action]) -> None:
-        for action in found:
+    def execute(self, node: Node, planned: list[actions.Action]) -> None:
+        for action in planned:
             match action:
                 case actions.Publish(event):
                     node.events.append(event)
@@ -125,22 +126,25 @@
                     node.core.receive_list(
                         entry
                         for entry in self.listed
-                        if node.knows is None or entry.name in node.knows
+                        if node.listed_names is None
+                        or entry.name in node.listed_names
                     )
                 case _:
                     self._call(node, action)
 
     def deliver(self, packet: Packet) -> None:
-        node = self._at(packet.target)
+        node = self._find_at(packet.target)
         if node is None or node.core is None:
             return
         heartbeat = wire.decode_heartbeat(packet.body).unwrap()
-        found = node.core.receive_heartbeat(heartbeat, packet.source, self.now)
-        self.carry_out(node, found)
+        planned = node.core.receive_heartbeat(
+            heartbeat, packet.source, self.now
+        )
+        self.execute(node, planned)
 
     def _tick(self, node: Node) -> None:
         assert node.core
-        self.carry_out(node, node.core.tick(self.now))
+        self.execute(node, node.core.tick(self.now))
         if self.now >= node.core.heartbeat_at:
             pressure = dispatch_messages.Pressure(
                 instance=ids.InstanceId(node.name),
@@ -155,8 +159,10 @@
                 leaving=node.leaving,
             )
             node.sent.append(pressure)
-            found = node.core.send_heartbeat(self.now, pressure, node.revision)
-            self.carry_out(node, found)
+            planned = node.core.send_heartbeat(
+                self.now, pressure, node.revision
+            )
+            self.execute(node, planned)
 
     def _send(self, source: str, target: str, body: bytes) -> None:
         packet = Packet(self.now, source, target, body)
@@ -178,7 +184,7 @@
     def _call(self, node: Node, action: actions.Action) -> None:
         assert isinstance(action, actions.FetchState | actions.SendSummary)
         assert node.core
-        peer = self._at(action.address)
+        peer = self._find_at(action.address)
         cut = self._is_cut(node.address, action.address)
         if peer is None or peer.core is None or cut:
             if isinstance(action, actions.FetchState):
@@ -186,16 +192,16 @@
             return
         if isinstance(action, actions.FetchState):
             state = peer.core.compose_state()
-            found = node.core.receive_state(action.instance, state, self.now)
-            self.carry_out(node, found)
+            planned = node.core.receive_state(action.instance, state, self.now)
+            self.execute(node, planned)
             return
-        found = peer.core.summaries.receive(action.summary, self.now)
-        self.carry_out(peer, found)
+        planned = peer.core.summaries.receive(action.summary, self.now)
+        self.execute(peer, planned)
         answer = peer.core.summaries.compose(self.now)
-        found = node.core.summaries.receive(answer, self.now)
-        self.carry_out(node, found)
+        planned = node.core.summaries.receive(answer, self.now)
+        self.execute(node, planned)
 
-    def _at(self, address: str) -> Node | None:
+    def _find_at(self, address: str) -> Node | None:
         return self.nodes.get(address.removesuffix(":1"))
 
     def _is_cut(self, source: str, target: str) -> bool:
--- a/pollenfork/membership/tests/test_actor.py
+++ b/pollenfork/membership/tests/test_actor.py
@@ -1,4 +1,4 @@
-"""The actor between fake edges: faults of any of them don't end it."""
+"""The actor with fake dependencies: their failures don't stop it."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 class FakeClient:
-    """Answers at once, in the caller's thread."""
+    """Answers immediately in the caller's thread."""
 
     def __init__(self):
         self.calls = []
@@ -66,7 +66,7 @@
         return self.answer
 
 
-class Bench:
+class Harness:
     def __init__(self):
         self.clock = clock.ManualClock()
         self.datagrams = FakeDatagrams()
@@ -101,34 +101,34 @@
 
 
 @pytest.fixture
-def bench():
-    made = Bench()
-    yield made
-    made.ref.stop()
+def harness():
+    harness = Harness()
+    yield harness
+    harness.ref.stop()
 
 
-def _hear(heartbeat):
+def _make_datagram(heartbeat):
     return actor.DatagramHeard(wire.encode(heartbeat), "10.0.0.2:1")
 
 
-def test_a_heartbeat_goes_out_with_the_tick_nearest_to_its_time(bench):
-    bench.tell(actor.Time())
-    assert len(bench.datagrams.sent) == 1
-    assert bench.datagrams.tick_s == pytest.approx(0.2)
+def test_heartbeat_is_sent_on_tick_nearest_to_due_time(harness):
+    harness.tell(actor.Time())
+    assert len(harness.datagrams.sent) == 1
+    assert harness.datagrams.tick_s == pytest.approx(0.2)
     sent = []
     for step_s in (0.0, 0.05, 0.1, 0.04, 0.21, 0.2):
-        bench.clock.advance(step_s)
-        bench.tell(actor.Time())
-        sent.append(len(bench.datagrams.sent))
+        harness.clock.advance(step_s)
+        harness.tell(actor.Time())
+        sent.append(len(harness.datagrams.sent))
     assert sent == [1, 1, 2, 2, 3, 4]
 
 
-def test_a_peer_is_listed_and_its_whole_state_asked_for(bench):
-    views = bench.tell(_hear(_HEARTBEAT))
+def test_new_peer_is_listed_and_its_full_state_fetched(harness):
+    views = harness.tell(_make_datagram(_HEARTBEAT))
     assert [view.instance for view in views] == ["entry-0", "entry-1"]
     assert views[1].address == "10.0.0.2:1"
-    assert bench.client.calls == ["10.0.0.2:1"]
-    assert bench.failures() == {"Undecodable": 1, "Unreachable": 1}
+    assert harness.client.calls == ["10.0.0.2:1"]
+    assert harness.failures() == {"Undecodable": 1, "Unreachable": 1}
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,10 @@
     [
         (actor.DatagramHeard(b"garbage", "10.0.0.9:1"), "Undecodable"),
         (actor.DatagramHeard(bytes(9000), "10.0.0.9:1"), "Oversized"),
-        (_hear(msgspec.structs.replace(_HEARTBEAT, format=7)), "UnknownFormat"),
+        (
+            _make_datagram(msgspec.structs.replace(_HEARTBEAT, format=7)),
+            "UnknownFormat",
+        ),
         (
             actor.StateFetched(ids.InstanceId("x"), result.Ok(b"")),
             "Undecodable",
@@ -151,28 +154,32 @@
         ),
     ],
 )
-def test_each_failure_is_counted_and_changes_no_member(bench, message, kind):
-    views = bench.tell(message)
+def test_failure_is_counted_and_changes_no_member(harness, message, kind):
+    views = harness.tell(message)
     assert len(views) == 1
-    assert bench.failures() == {kind: 1}
+    assert harness.failures() == {kind: 1}
 
 
-def test_a_listener_that_raises_does_not_end_membership(bench):
+def test_exception_in_listener_does_not_stop_actor(harness):
     def fail(event):
         raise ValueError(event)
 
-    bench.publish = fail
-    bench.tell(_hear(_HEARTBEAT))
-    assert bench.client.calls  # What followed the event was carried out.
-    bench.publish = bench.events.append
-    bench.tell(_hear(msgspec.structs.replace(_HEARTBEAT, sequence=2)))
-    bench.tell(actor.Leave())
-    assert bench.failures()["ValueError"] == 2  # Joined, and its revision.
-    last = wire.decode_heartbeat(bench.datagrams.sent[-1][0]).unwrap()
+    harness.publish = fail
+    harness.tell(_make_datagram(_HEARTBEAT))
+    assert harness.client.calls  # Actions after the event were executed.
+    harness.publish = harness.events.append
+    harness.tell(
+        _make_datagram(msgspec.structs.replace(_HEARTBEAT, sequence=2))
+    )
+    harness.tell(actor.Leave())
+    assert (
+        harness.failures()["ValueError"] == 2
+    )  # MemberJoined and PeerRevision.
+    last = wire.decode_heartbeat(harness.datagrams.sent[-1][0]).unwrap()
     assert last.status is messages.MemberStatus.LEFT
 
 
-def test_a_summary_is_answered_by_one_and_a_bad_one_refused(bench):
+def test_summary_is_answered_and_invalid_one_rejected(harness):
     far = wire.Entry(
         wire.MemberUpdate(
             ids.InstanceId("far"),
@@ -183,20 +190,20 @@
         ),
         ids.Revision(9),
     )
-    summary = wire.Summary(1, far.note.instance, ids.DataCentre("b"), (far,))
-    answer = bench.ref.ask(actor.ServeExchange(wire.encode(summary)))
+    summary = wire.Summary(1, far.update.instance, ids.DataCentre("b"), (far,))
+    answer = harness.ref.ask(actor.ServeExchange(wire.encode(summary)))
     told = wire.decode_summary(answer.unwrap()).unwrap()
-    assert [entry.note.instance for entry in told.entries] == ["entry-0"]
-    joined, revised = bench.events
+    assert [entry.update.instance for entry in told.entries] == ["entry-0"]
+    joined, revised = harness.events
     assert (joined.instance, joined.data_centre) == ("far", "b")
     assert revised.revision == 9
-    bad = bench.ref.ask(actor.ServeExchange(b"garbage"))
+    bad = harness.ref.ask(actor.ServeExchange(b"garbage"))
     assert isinstance(bad.unwrap_err(), errors.Undecodable)
 
 
-def test_a_list_that_raises_does_not_end_membership(bench):
-    bench.list.answer = RuntimeError("bug")
-    bench.tell(actor.Time())
+def test_exception_in_list_does_not_stop_actor(harness):
+    harness.list.answer = RuntimeError("bug")
+    harness.tell(actor.Time())
     listed = edges.ListedInstance(
         "entry-1",
         edges.InstanceRole.ENTRY,
@@ -204,7 +211,7 @@
         "10.0.0.2:1",
         edges.InstanceStatus.LIVE,
     )
-    bench.tell(actor.ListFetched(result.Ok((listed,))))
-    bench.clock.advance(0.5)
-    bench.tell(actor.Time())
-    assert bench.datagrams.sent[-1][1] == ("10.0.0.2:1",)
+    harness.tell(actor.ListFetched(result.Ok((listed,))))
+    harness.clock.advance(0.5)
+    harness.tell(actor.Time())
+    assert harness.datagrams.sent[-1][1] == ("10.0.0.2:1",)
--- a/pollenfork/membership/tests/test_core.py
+++ b/pollenfork/membership/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Single decisions: silence, pauses, refutations, restarts, notices."""
+"""Protocol decisions: suspicion, pauses, refutations, restarts, notices."""
 
 import msgspec
 import pytest
@@ -13,16 +13,16 @@
 from pollenfork.membership.tests import network
 
 _STATUS = network.STATUS
-# Silence, one refutation by the last who heard it, removal, a heartbeat.
+# Silence, one refutation by the last receiver, removal, one heartbeat.
 _REMOVED_S = 1.5 + 1.5 + 2.0 + 0.4
 
 
 def _start(*centres):
-    world = network.Network(1, *centres)
-    for name in world.nodes:
-        world.start(name)
-    world.run(5.0)
-    return world
+    net = network.Network(1, *centres)
+    for name in net.nodes:
+        net.start(name)
+    net.run(5.0)
+    return net
 
 
 def _kinds(node, instance):
@@ -39,16 +39,16 @@
     return views.get(instance)
 
 
-def _find_last_named(world, source):
+def _find_last_named(net, source):
     return [
         packet
-        for packet in world.history
+        for packet in net.history
         if packet.source == source
         and wire.decode_heartbeat(packet.body).unwrap().instance
     ][-1]
 
 
-def _note(heartbeat, status, sequence):
+def _update(heartbeat, status, sequence):
     return wire.MemberUpdate(
         heartbeat.instance,
         heartbeat.incarnation,
@@ -58,29 +58,27 @@
     )
 
 
-def _tell(node, world, note):
-    """Lets another member say something to the node."""
-    teller = wire.Heartbeat(
+def _send_update(node, net, update):
+    """Sends the node an update from another member."""
+    sender = wire.Heartbeat(
         format=1,
-        instance=ids.InstanceId("teller"),
+        instance=ids.InstanceId("sender"),
         data_centre=ids.DataCentre("a"),
         incarnation=ids.Incarnation(1),
         sequence=1,
         period_ms=60_000,
         status=_STATUS.LIVE,
         revision=ids.Revision(1),
-        notes=(note,),
-    )
-    world.carry_out(
-        node, node.core.receive_heartbeat(teller, "teller:1", world.now)
+        updates=(update,),
     )
+    net.execute(node, node.core.receive_heartbeat(sender, "sender:1", net.now))
 
 
-def test_a_killed_member_is_suspected_then_lost_by_all_in_time():
-    world = _start("a", "a", "a", "a")
-    world.kill("entry-0")
-    world.run(_REMOVED_S)
-    for node in world.running():
+def test_killed_member_is_suspected_then_lost_by_all():
+    net = _start("a", "a", "a", "a")
+    net.kill("entry-0")
+    net.run(_REMOVED_S)
+    for node in net.running():
         assert _kinds(node, "entry-0") == [
             messages.MemberJoined,
             messages.MemberSuspected,
@@ -88,105 +86,105 @@
         ]
 
 
-def test_a_leaving_member_is_gone_at_once_though_the_list_has_it():
-    world = _start("a", "a", "a")
-    world.leave("entry-0")
-    world.run(0.2)
-    for node in world.running():
+def test_leaving_member_is_removed_immediately_though_listed():
+    net = _start("a", "a", "a")
+    net.leave("entry-0")
+    net.run(0.2)
+    for node in net.running():
         assert _kinds(node, "entry-0")[1:] == [messages.MemberLeft]
-    for packet in list(world.history):
-        world.deliver(packet)
-    world.run(30.0)
-    for node in world.running():
-        assert _status(node, "entry-0", world.now) is _STATUS.LEFT
+    for packet in list(net.history):
+        net.deliver(packet)
+    net.run(30.0)
+    for node in net.running():
+        assert _status(node, "entry-0", net.now) is _STATUS.LEFT
         assert len(_kinds(node, "entry-0")) == 2
 
 
-def test_a_member_that_another_hears_stays_suspected_at_worst():
-    world = _start("a", "a", "a")
-    world.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
-    world.run(60.0)
-    kinds = _kinds(world.nodes["entry-0"], "entry-1")
+def test_member_that_another_receives_is_not_lost():
+    net = _start("a", "a", "a")
+    net.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
+    net.run(60.0)
+    kinds = _kinds(net.nodes["entry-0"], "entry-1")
     assert messages.SuspicionRefuted in kinds
     assert messages.MemberLost not in kinds
 
 
-def test_a_healed_partition_joins_again_without_the_list():
-    world = _start("a", "a")
-    world.listed = ()
-    world.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
-    world.run(10.0)
-    nodes = world.running()
-    assert _status(nodes[0], "entry-1", world.now) is _STATUS.LOST
-    world.cuts.clear()
-    world.run(3.0)
+def test_healed_partition_rejoins_without_list():
+    net = _start("a", "a")
+    net.listed = ()
+    net.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
+    net.run(10.0)
+    nodes = net.running()
+    assert _status(nodes[0], "entry-1", net.now) is _STATUS.LOST
+    net.cuts.clear()
+    net.run(3.0)
     for node in nodes:
         assert _kinds(node, "entry-0") or _kinds(node, "entry-1")
-        assert len(node.present(world.now)) == 2
+        assert len(node.present(net.now)) == 2
 
 
-def test_a_member_heard_again_tells_its_revision_again():
-    world = _start("a", "a")
-    world.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
-    world.run(10.0)
-    node = world.nodes["entry-0"]
+def test_member_back_after_loss_publishes_its_revision_again():
+    net = _start("a", "a")
+    net.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
+    net.run(10.0)
+    node = net.nodes["entry-0"]
     lost = [type(event) for event in node.events].index(messages.MemberLost)
-    world.cuts.clear()
-    world.run(3.0)
+    net.cuts.clear()
+    net.run(3.0)
     told = [
         event.revision
         for event in node.events[lost:]
         if isinstance(event, messages.PeerRevision)
     ]
-    assert told == [world.nodes["entry-1"].revision]
+    assert told == [net.nodes["entry-1"].revision]
 
 
-def test_a_pause_of_this_instance_is_not_blamed_on_the_others():
-    world = _start("a", "a", "a")
-    paused = world.nodes["entry-0"]
+def test_pause_of_this_instance_causes_no_suspicion():
+    net = _start("a", "a", "a")
+    paused = net.nodes["entry-0"]
     core, paused.core = paused.core, None
-    world.run(30.0)
-    world.packets.clear()  # It ticks before it hears anything.
+    net.run(30.0)
+    net.packets.clear()  # It ticks before it receives anything.
     paused.core = core
     before = len(paused.events)
-    world.run(1.0)
+    net.run(1.0)
     found = paused.events[before:]
     assert not [e for e in found if isinstance(e, messages.MemberSuspected)]
 
 
 @pytest.mark.parametrize("skew_s", [-3600.0, 0.0, 3600.0])
 @pytest.mark.parametrize("other", ["a", "b"])
-def test_a_restart_at_the_same_address_replaces_its_former_self(skew_s, other):
-    world = _start("a", other)
-    was = world.nodes["entry-0"].core.incarnation
-    world.start("entry-0", skew_s)
-    world.run(1.4)  # Less than the silence that starts a suspicion.
-    core = world.nodes["entry-0"].core
-    assert core.incarnation > was
-    for node in world.running():
-        present = node.present(world.now)
+def test_restart_at_same_address_replaces_previous_incarnation(skew_s, other):
+    net = _start("a", other)
+    previous = net.nodes["entry-0"].core.incarnation
+    net.start("entry-0", skew_s)
+    net.run(1.4)  # Less than the silence timeout.
+    core = net.nodes["entry-0"].core
+    assert core.incarnation > previous
+    for node in net.running():
+        present = node.present(net.now)
         assert present["entry-0"] == core.incarnation
-    assert _kinds(world.nodes["entry-1"], "entry-0")[:3] == [
+    assert _kinds(net.nodes["entry-1"], "entry-0")[:3] == [
         messages.MemberJoined,
         messages.MemberLost,
         messages.MemberJoined,
     ]
 
 
-def test_one_that_left_comes_back_though_its_clock_fell_back():
-    world = _start("a", "a")
-    world.leave("entry-0")
-    world.run(1.0)
-    world.start("entry-0", -3600.0)
-    world.run(1.0)
-    present = world.nodes["entry-1"].present(world.now)
-    assert present["entry-0"] == world.nodes["entry-0"].core.incarnation
+def test_departed_member_returns_though_its_clock_was_set_back():
+    net = _start("a", "a")
+    net.leave("entry-0")
+    net.run(1.0)
+    net.start("entry-0", -3600.0)
+    net.run(1.0)
+    present = net.nodes["entry-1"].present(net.now)
+    assert present["entry-0"] == net.nodes["entry-0"].core.incarnation
 
 
-def test_a_woken_predecessor_at_another_address_gives_way():
-    world = _start("a", "a")
-    node = world.nodes["entry-1"]
-    member = node.core.view(world.now)[0]
+def test_resumed_predecessor_at_other_address_is_replaced():
+    net = _start("a", "a")
+    node = net.nodes["entry-1"]
+    member = node.core.view(net.now)[0]
     later = wire.Heartbeat(
         format=1,
         instance=member.instance,
@@ -197,20 +195,20 @@
         status=_STATUS.LIVE,
         revision=ids.Revision(1),
     )
-    node.core.receive_heartbeat(later, "replacement:1", world.now)
-    world.run(3.0)
-    assert node.present(world.now)["entry-0"] == later.incarnation
-    assert world.nodes["entry-0"].core.incarnation == member.incarnation
-
-
-def test_a_lost_difference_costs_one_fetch_and_no_stale_pressure():
-    world = _start("a", "a")
-    node = world.nodes["entry-0"]
-    world.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
-    world.run(0.5)
-    world.cuts.clear()
+    node.core.receive_heartbeat(later, "replacement:1", net.now)
+    net.run(3.0)
+    assert node.present(net.now)["entry-0"] == later.incarnation
+    assert net.nodes["entry-0"].core.incarnation == member.incarnation
+
+
+def test_lost_delta_causes_one_fetch_and_no_stale_pressure():
+    net = _start("a", "a")
+    node = net.nodes["entry-0"]
+    net.cuts.add(frozenset(("entry-0:1", "entry-1:1")))
+    net.run(0.5)
+    net.cuts.clear()
     before = len(node.reports)
-    world.run(3.0)
+    net.run(3.0)
     heard = [e for e in node.events if isinstance(e, messages.PressureHeard)]
     assert len(node.reports) == before + 1
     sequences = [event.sequence for event in heard]
@@ -218,42 +216,42 @@
     assert len(sequences) > 20
 
 
-def test_names_are_left_out_towards_members_that_know_them():
-    world = _start("a", "a", "a")
-    world.history.clear()
-    world.run(3.2)
-    sent = [wire.decode_heartbeat(p.body).unwrap() for p in world.history]
+def test_names_are_omitted_for_members_that_know_them():
+    net = _start("a", "a", "a")
+    net.history.clear()
+    net.run(3.2)
+    sent = [wire.decode_heartbeat(p.body).unwrap() for p in net.history]
     named = [heartbeat for heartbeat in sent if heartbeat.instance]
     assert len(sent) >= 6 * 15
     assert len(named) <= len(sent) / 6
 
 
-def test_a_later_incarnation_is_told_with_names_at_once():
-    world = _start("a", "a")
-    node = world.nodes["entry-1"]
-    note = wire.MemberUpdate(
+def test_raised_incarnation_is_sent_with_names_immediately():
+    net = _start("a", "a")
+    node = net.nodes["entry-1"]
+    update = wire.MemberUpdate(
         ids.InstanceId("entry-1"),
         node.core.incarnation,
         9,
         _STATUS.LEFT,
         "entry-1:1",
     )
-    _tell(node, world, note)
-    world.run(0.4)
-    present = world.nodes["entry-0"].present(world.now)
-    assert present["entry-1"] == note.incarnation + 1
+    _send_update(node, net, update)
+    net.run(0.4)
+    present = net.nodes["entry-0"].present(net.now)
+    assert present["entry-1"] == update.incarnation + 1
 
 
 @pytest.mark.parametrize(
     ("later", "address"),
     [(0, "stranger:1"), (1, "entry-0:1"), (-1, "entry-0:1")],
 )
-def test_a_nameless_heartbeat_of_a_stranger_is_ignored(later, address):
-    world = _start("a", "a")
-    node = world.nodes["entry-1"]
-    world.kill("entry-0")
+def test_nameless_heartbeat_of_unknown_sender_is_ignored(later, address):
+    net = _start("a", "a")
+    node = net.nodes["entry-1"]
+    net.kill("entry-0")
     heartbeat = wire.decode_heartbeat(
-        _find_last_named(world, "entry-0:1").body
+        _find_last_named(net, "entry-0:1").body
     ).unwrap()
     nameless = msgspec.structs.replace(
         heartbeat,
@@ -262,13 +260,13 @@
         incarnation=ids.Incarnation(heartbeat.incarnation + later),
         sequence=heartbeat.sequence + 100,
     )
-    assert node.core.receive_heartbeat(nameless, address, world.now) == []
+    assert node.core.receive_heartbeat(nameless, address, net.now) == []
 
 
-def test_few_whole_states_are_fetched_at_a_time():
-    world = network.Network(1, "a")
-    world.start("entry-0")
-    core = world.nodes["entry-0"].core
+def test_concurrent_state_fetches_are_limited():
+    net = network.Network(1, "a")
+    net.start("entry-0")
+    core = net.nodes["entry-0"].core
     heartbeat = wire.Heartbeat(1, "x", "a", 1, 1, 200, _STATUS.LIVE, 1)
     encoder = pressures.PressureEncoder()
     body = encoder.encode_delta(dispatch_messages.Pressure("x"), 0.0)
@@ -288,11 +286,11 @@
     assert actions.FetchState("peer-9", "peer-9:1") in found
 
 
-def test_a_notice_reaches_every_data_centre_and_is_told_once():
-    world = _start("a", "a", "b", "b", "c")
-    world.nodes["entry-0"].leaving = (ids.EndpointId("runner-1"),)
-    world.run(3.0)
-    for node in world.running()[1:]:
+def test_notice_reaches_every_data_centre_and_is_published_once():
+    net = _start("a", "a", "b", "b", "c")
+    net.nodes["entry-0"].leaving = (ids.EndpointId("runner-1"),)
+    net.run(3.0)
+    for node in net.running()[1:]:
         found = [
             event
             for event in node.events
@@ -301,100 +299,102 @@
         assert [event.endpoint for event in found] == ["runner-1"], node.name
 
 
-def test_pressure_stays_in_its_data_centre_and_revisions_travel():
-    world = _start("a", "b")
-    world.nodes["entry-0"].revision = ids.Revision(9)
-    world.run(3.0)
-    far = world.nodes["entry-1"]
+def test_only_revisions_reach_other_data_centres():
+    net = _start("a", "b")
+    net.nodes["entry-0"].revision = ids.Revision(9)
+    net.run(3.0)
+    far = net.nodes["entry-1"]
     assert not [e for e in far.events if isinstance(e, messages.PressureHeard)]
-    view = far.core.view(world.now)[0]
+    view = far.core.view(net.now)[0]
     assert (view.instance, view.revision) == ("entry-0", 9)
 
 
-def test_a_data_centre_cut_off_is_removed_whole_and_comes_back():
-    world = _start("a", "a", "b", "b")
+def test_partitioned_data_centre_is_removed_and_rejoins():
+    net = _start("a", "a", "b", "b")
     for near in ("entry-0:1", "entry-1:1"):
         for far in ("entry-2:1", "entry-3:1"):
-            world.cuts.add(frozenset((near, far)))
-    world.run(12.0)
-    for node in world.running():
-        assert len(node.present(world.now)) == 2
-    world.cuts.clear()
-    world.run(6.0)
-    for node in world.running():
-        assert len(node.present(world.now)) == 4
-
-
-def test_a_member_that_no_list_names_is_introduced_by_another():
-    world = network.Network(1, "a", "a", "a")
+            net.cuts.add(frozenset((near, far)))
+    net.run(12.0)
+    for node in net.running():
+        assert len(node.present(net.now)) == 2
+    net.cuts.clear()
+    net.run(6.0)
+    for node in net.running():
+        assert len(node.present(net.now)) == 4
+
+
+def test_unlisted_member_is_discovered_through_another():
+    net = network.Network(1, "a", "a", "a")
     for name, known in (("entry-0", "entry-1"), ("entry-2", "entry-1")):
-        world.nodes[name].knows = {known}
-    world.nodes["entry-1"].knows = set()
-    for name in world.nodes:
-        world.start(name)
-    world.run(3.0)
-    for node in world.running():
-        assert len(node.present(world.now)) == 3
-
-
-def test_copies_and_old_heartbeats_cause_nothing():
-    world = _start("a", "a", "a")
-    before = {node.name: len(node.events) for node in world.running()}
-    for packet in world.history:
-        if packet.due < world.now - 0.1:
-            world.deliver(packet)
-    for node in world.running():
+        net.nodes[name].knows = {known}
+    net.nodes["entry-1"].knows = set()
+    for name in net.nodes:
+        net.start(name)
+    net.run(3.0)
+    for node in net.running():
+        assert len(node.present(net.now)) == 3
+
+
+def test_duplicate_and_old_heartbeats_have_no_effect():
+    net = _start("a", "a", "a")
+    before = {node.name: len(node.events) for node in net.running()}
+    for packet in net.history:
+        if packet.due < net.now - 0.1:
+            net.deliver(packet)
+    for node in net.running():
         assert len(node.events) == before[node.name]
-        assert len(node.reports) <= 2  # The first difference of each peer.
+        assert len(node.reports) <= 2  # The first delta of each peer.
 
 
-def test_a_suspicion_ends_only_by_a_later_heartbeat():
-    world = _start("a", "a")
-    node = world.nodes["entry-1"]
-    world.kill("entry-0")
-    world.packets.clear()
-    late = _find_last_named(world, "entry-0:1")
-    world.run(2.0)
+def test_only_later_heartbeat_ends_suspicion():
+    net = _start("a", "a")
+    node = net.nodes["entry-1"]
+    net.kill("entry-0")
+    net.packets.clear()
+    late = _find_last_named(net, "entry-0:1")
+    net.run(2.0)
     heartbeat = wire.decode_heartbeat(late.body).unwrap()
-    heard = _note(heartbeat, _STATUS.LIVE, heartbeat.sequence + 5)
-    _tell(node, world, heard)
-    assert _status(node, "entry-0", world.now) is _STATUS.LIVE
-    world.run(2.0)
-    assert _status(node, "entry-0", world.now) is _STATUS.SUSPECTED
+    heard = _update(heartbeat, _STATUS.LIVE, heartbeat.sequence + 5)
+    _send_update(node, net, heard)
+    assert _status(node, "entry-0", net.now) is _STATUS.LIVE
+    net.run(2.0)
+    assert _status(node, "entry-0", net.now) is _STATUS.SUSPECTED
     for sequence, status in ((5, _STATUS.SUSPECTED), (6, _STATUS.LIVE)):
         later = msgspec.structs.replace(
             heartbeat, sequence=heartbeat.sequence + sequence
         )
-        node.core.receive_heartbeat(later, late.source, world.now)
-        assert _status(node, "entry-0", world.now) is status
+        node.core.receive_heartbeat(later, late.source, net.now)
+        assert _status(node, "entry-0", net.now) is status
 
 
-def test_leaving_is_final_though_later_heartbeats_are_under_way():
-    world = _start("a", "a")
-    node = world.nodes["entry-1"]
-    world.kill("entry-0")
-    late = _find_last_named(world, "entry-0:1")
+def test_leaving_is_final_despite_later_heartbeats():
+    net = _start("a", "a")
+    node = net.nodes["entry-1"]
+    net.kill("entry-0")
+    late = _find_last_named(net, "entry-0:1")
     heartbeat = wire.decode_heartbeat(late.body).unwrap()
-    _tell(node, world, _note(heartbeat, _STATUS.LEFT, heartbeat.sequence))
+    _send_update(
+        node, net, _update(heartbeat, _STATUS.LEFT, heartbeat.sequence)
+    )
     later = msgspec.structs.replace(heartbeat, sequence=heartbeat.sequence + 9)
-    node.core.receive_heartbeat(later, late.source, world.now)
-    assert _status(node, "entry-0", world.now) is _STATUS.LEFT
+    node.core.receive_heartbeat(later, late.source, net.now)
+    assert _status(node, "entry-0", net.now) is _STATUS.LEFT
     assert _kinds(node, "entry-0")[1:] == [messages.MemberLeft]
 
 
-def test_talk_of_a_departure_ends():
-    world = _start("a", "a", "a", "a")
-    world.leave("entry-0")
-    world.run(3.0)
-    for packet in world.history[-10:]:
-        assert wire.decode_heartbeat(packet.body).unwrap().notes == ()
+def test_updates_of_a_departure_end():
+    net = _start("a", "a", "a", "a")
+    net.leave("entry-0")
+    net.run(3.0)
+    for packet in net.history[-10:]:
+        assert wire.decode_heartbeat(packet.body).unwrap().updates == ()
 
 
-def test_one_who_is_told_tells_its_data_centre():
-    world = _start("a", *["b"] * 9)
-    world.nodes["entry-0"].leaving = (ids.EndpointId("runner-1"),)
-    world.run(1.0)  # Each of the nine meets "a" itself only each 2.25 s.
-    for node in world.running()[1:]:
+def test_notice_is_relayed_within_data_centre():
+    net = _start("a", *["b"] * 9)
+    net.nodes["entry-0"].leaving = (ids.EndpointId("runner-1"),)
+    net.run(1.0)  # Each of the nine contacts "a" only every 2.25 s.
+    for node in net.running()[1:]:
         kinds = [type(event) for event in node.events]
         assert messages.EndpointLeavingHeard in kinds
 
@@ -415,7 +415,7 @@
         (3, _STATUS.LEFT, "elsewhere:1", 14),
     ],
 )
-def test_what_others_say_of_this_instance(later, status, address, incarnation):
+def test_updates_about_this_instance(later, status, address, incarnation):
     identity = local_member.Identity(
         ids.InstanceId("x"), ids.DataCentre("a"), "x:1"
     )
@@ -428,11 +428,11 @@
     assert me.status is _STATUS.LIVE
 
 
-def test_a_heartbeat_in_ones_own_name_changes_nothing():
-    world = _start("a", "a")
-    node = world.nodes["entry-0"]
-    packet = _find_last_named(world, "entry-0:1")
+def test_heartbeat_with_own_name_has_no_effect():
+    net = _start("a", "a")
+    node = net.nodes["entry-0"]
+    packet = _find_last_named(net, "entry-0:1")
     forged = msgspec.structs.replace(packet, target="entry-0:1")
     before = list(node.events)
-    world.deliver(forged)
+    net.deliver(forged)
     assert node.events == before
--- a/pollenfork/membership/tests/test_wire.py
+++ b/pollenfork/membership/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Golden bytes of format 1 and the table of bytes that are refused."""
+"""Golden bytes of format 1, and bytes that decoding rejects."""
 
 import msgspec
 import pytest
@@ -9,7 +9,7 @@
 from pollenfork.membership import wire
 
 _STATUS = messages.MemberStatus
-_NOTE = wire.MemberUpdate(
+_UPDATE = wire.MemberUpdate(
     ids.InstanceId("entry-2"),
     ids.Incarnation(1_700_000_000_002),
     41,
@@ -26,28 +26,28 @@
     status=_STATUS.LIVE,
     revision=ids.Revision(7),
     pressure=b"\x01\x02",
-    notes=(_NOTE,),
+    updates=(_UPDATE,),
     leaving=(ids.EndpointId("runner-9"),),
 )
 _SUMMARY = wire.Summary(
     format=1,
     instance=ids.InstanceId("entry-1"),
     data_centre=ids.DataCentre("amman-1"),
-    entries=(wire.Entry(_NOTE, ids.Revision(6)),),
+    entries=(wire.Entry(_UPDATE, ids.Revision(6)),),
     leaving=(ids.EndpointId("runner-9"),),
-    corrections=(_NOTE,),
+    corrections=(_UPDATE,),
 )
-_NOTE_HEX = (
+_UPDATE_HEX = (
     "95a7656e7472792d32cf0000018bcfe568022"
     "9a9737573706563746564ad31302e302e302e323a37303031"
 )
 _HEARTBEAT_HEX = (
     "9b01a7656e7472792d31a7616d6d616e2d31cf0000018bcfe56801ce00011170ccc8"
-    f"a46c69766507c402010291{_NOTE_HEX}91a872756e6e65722d39"
+    f"a46c69766507c402010291{_UPDATE_HEX}91a872756e6e65722d39"
 )
 _SUMMARY_HEX = (
-    f"9601a7656e7472792d31a7616d6d616e2d319192{_NOTE_HEX}0691a872756e6e65"
-    f"722d3991{_NOTE_HEX}"
+    f"9601a7656e7472792d31a7616d6d616e2d319192{_UPDATE_HEX}0691a872756e6e65"
+    f"722d3991{_UPDATE_HEX}"
 )
 
 
@@ -58,12 +58,12 @@
         (_SUMMARY, _SUMMARY_HEX, wire.decode_summary),
     ],
 )
-def test_format_one_keeps_its_bytes(message, golden, decode):
+def test_format_one_matches_golden_bytes(message, golden, decode):
     assert wire.encode(message).hex() == golden
     assert decode(bytes.fromhex(golden)).unwrap() == message
 
 
-def test_fields_appended_by_a_later_minor_version_are_skipped():
+def test_appended_fields_of_later_version_are_skipped():
     longer = msgspec.msgpack.encode(
         [*msgspec.msgpack.decode(wire.encode(_HEARTBEAT)), "new"]
     )
@@ -94,5 +94,5 @@
         (_replace(pressure=bytes(9000)), errors.Oversized),
     ],
 )
-def test_other_bytes_are_refused_by_type(body, failure):
+def test_invalid_bytes_are_rejected_by_type(body, failure):
     assert isinstance(wire.decode_heartbeat(body).unwrap_err(), failure)
--- a/pollenfork/membership/wire.py
+++ b/pollenfork/membership/wire.py
@@ -1,4 +1,4 @@
-"""The messages between entry instances as versioned MessagePack bytes."""
+"""Versioned MessagePack encoding of messages between instances."""
 
 from typing import Annotated, TypeVar
 
@@ -14,20 +14,21 @@
 SUMMARY_LIMIT = 256 * 1024
 
 T = TypeVar("T")
-# Bounds keep a peer's nonsense from growing into numbers that can't be sent.
-_COUNT_LIMIT = 2**53
-_Count = Annotated[int, msgspec.Meta(ge=0, le=_COUNT_LIMIT)]
-_Incarnation = Annotated[ids.Incarnation, msgspec.Meta(ge=0, le=_COUNT_LIMIT)]
-_Revision = Annotated[ids.Revision, msgspec.Meta(ge=0, le=_COUNT_LIMIT)]
+# Limits values from peers to what can be encoded again: an incarnation above
+# a received one must still fit.
+_MAX_COUNT = 2**53
+_Count = Annotated[int, msgspec.Meta(ge=0, le=_MAX_COUNT)]
+_Incarnation = Annotated[ids.Incarnation, msgspec.Meta(ge=0, le=_MAX_COUNT)]
+_Revision = Annotated[ids.Revision, msgspec.Meta(ge=0, le=_MAX_COUNT)]
 _PeriodMs = Annotated[int, msgspec.Meta(gt=0, le=60_000)]
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender believes of a member of its own data centre.
+    """A member's state, as the sender knows it.
 
     Attributes:
-        sequence: The highest heartbeat it knows that member to have sent.
-        address: Tells two processes of one name apart.
+        sequence: Of the member's latest heartbeat that the sender knows of.
+        address: Distinguishes two processes of the same name.
     """
 
     instance: ids.InstanceId
@@ -38,18 +39,18 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """One instance's sign of life towards its own data centre.
+    """A heartbeat from one instance to its own data centre.
 
     Attributes:
-        instance: Empty towards members that know the sender's address, to
-            save bytes; so is `data_centre`.
-        sequence: Grows by one with each heartbeat of the incarnation.
+        instance: Empty, like `data_centre`, for members that know the
+            sender's address, to save bytes.
+        sequence: Incremented with each heartbeat of the incarnation.
         period_ms: Time to the next heartbeat.
         status: `LIVE`, or `LEFT` in the last heartbeats.
         revision: The settings revision in force at the sender.
         pressure: A `pressures.Delta`; empty for none.
-        notes: Suspicions, refutations and departures.
-        leaving: Endpoints that another data centre says are leaving.
+        updates: Suspicions, refutations and departures.
+        leaving: Endpoints that another data centre reports as leaving.
     """
 
     format: int
@@ -61,24 +62,24 @@
     status: messages.MemberStatus
     revision: _Revision
     pressure: bytes = b""
-    notes: tuple[MemberUpdate, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
     leaving: tuple[ids.EndpointId, ...] = ()
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One member of the data centre that a summary is about."""
+    """One member of the data centre that sends a summary."""
 
-    note: MemberUpdate
+    update: MemberUpdate
     revision: _Revision
 
 
 class Summary(msgspec.Struct, frozen=True, array_like=True):
-    """What one data centre tells another, sent by any of its instances.
+    """State of one data centre for another, sent by any of its instances.
 
     Attributes:
-        leaving: Endpoints that the data centre says are leaving.
-        corrections: Members of other data centres that this one knows in a
-            later incarnation than they claim.
+        leaving: Endpoints that the data centre reports as leaving.
+        corrections: Members of other data centres of which this one knows
+            a later incarnation than they announce.
     """
 
     format: int
@@ -117,10 +118,11 @@
     if len(body) > limit:
         detail = f"{len(body)} bytes, at most {limit}"
         return result.Err(errors.Oversized(detail=detail))
-    # The number comes first, so that a later layout is named and not guessed.
-    number = body[1] if len(body) > 1 else None
-    if _is_short_array(body) and number != FORMAT:
-        detail = f"format {number}, this version reads {FORMAT}"
+    # The format number comes first, so that an unknown format is recognized
+    # before the rest is decoded.
+    format_number = body[1] if len(body) > 1 else None
+    if _is_short_array(body) and format_number != FORMAT:
+        detail = f"format {format_number}, this version reads {FORMAT}"
         return result.Err(errors.UnknownFormat(detail=detail))
     try:
         return result.Ok(decoder.decode(body))
