--- a/pollenfork/membership/discovery.py
+++ b/pollenfork/membership/discovery.py
@@ -53,15 +53,11 @@
             known: Addresses of present members, which are left out.
             now: Monotonic seconds.
         """
-        self._hints = {
-            address: at for address, at in self._hints.items() if at > now
-        }
+        self._hints = {a: t for a, t in self._hints.items() if t > now}
         listed = [a for a, d in self._listed.items() if d == self._data_centre]
         candidates = {*self._seeds, *listed, *self._hints} - known
         self._probed_at = {
-            address: at
-            for address, at in self._probed_at.items()
-            if address in candidates
+            a: t for a, t in self._probed_at.items() if a in candidates
         }
         due = sorted(
             address
