--- a/pollenfork/membership/core.py
+++ b/pollenfork/membership/core.py
@@ -343,8 +343,8 @@
             self._local.receive_update(update)
             return []
         member = self._roster.find(update.instance)
-        unheard = member is None or update.incarnation > member.incarnation
-        if unheard and update.status in (_Status.LIVE, _Status.SUSPECTED):
+        unknown = member is None or update.incarnation > member.incarnation
+        if unknown and update.status in (_Status.LIVE, _Status.SUSPECTED):
             self._discovery.add_hint(update.address, now)
         if member is None or update.incarnation < member.incarnation:
             return []
--- a/pollenfork/membership/pressures.py
+++ b/pollenfork/membership/pressures.py
@@ -154,7 +154,7 @@
         follows = self.sequence is not None and self.sequence == sequence - 1
         if not delta.full and not follows:
             self._buffer(sequence, delta)
-            detail = f"have {self.sequence}, heard {sequence}"
+            detail = f"have sequence {self.sequence}, received {sequence}"
             return result.Err(errors.MissingBase(detail=detail))
         if delta.full:
             self._state = _State()
--- a/pollenfork/membership/roster.py
+++ b/pollenfork/membership/roster.py
@@ -26,7 +26,7 @@
         sequence: Of the last heartbeat received from the member itself.
         known_sequence: Of the last one that any instance is known to have
             received.
-        heard_at: Monotonic seconds of the last evidence that it is alive.
+        last_seen_at: Monotonic seconds of the last evidence that it is alive.
         changed_at: Monotonic seconds of the last change of status.
         unrecognized_at: Monotonic seconds at which the member last seemed not
             to know this instance.
@@ -40,7 +40,7 @@
     status: messages.MemberStatus
     sequence: int
     known_sequence: int
-    heard_at: float
+    last_seen_at: float
     changed_at: float
     silence_timeout_s: float
     removal_timeout_s: float
@@ -56,7 +56,7 @@
             address=self.address,
             status=self.status,
             revision=self.revision,
-            heard_s_ago=now - self.heard_at,
+            heard_s_ago=now - self.last_seen_at,
         )
 
     @property
@@ -141,14 +141,14 @@
         if member.status is not _Status.SUSPECTED:
             return []
         member.known_sequence = sequence
-        member.heard_at = now
+        member.last_seen_at = now
         return self._mark_live(member, now)
 
     def check_silence(self, now: float) -> list[messages.Event]:
         """Suspects silent members and removes those suspected too long."""
         events: list[messages.Event] = []
         for member in self._members.values():
-            silent_for_s = now - member.heard_at
+            silent_for_s = now - member.last_seen_at
             suspected_for_s = now - member.changed_at
             if (
                 member.status is _Status.LIVE
@@ -165,7 +165,7 @@
     def discount_pause(self, seconds: float) -> None:
         """Excludes time in which this instance was paused from timeouts."""
         for member in self._members.values():
-            member.heard_at += seconds
+            member.last_seen_at += seconds
             if member.status is _Status.SUSPECTED:
                 member.changed_at += seconds
 
@@ -192,7 +192,7 @@
             status=evidence.status,
             sequence=evidence.sequence if evidence.direct else 0,
             known_sequence=evidence.sequence,
-            heard_at=now,
+            last_seen_at=now,
             changed_at=now,
             silence_timeout_s=evidence.silence_timeout_s,
             removal_timeout_s=evidence.removal_timeout_s,
@@ -229,9 +229,9 @@
         _set_status(member, _Status.LIVE, now)
         if previous_status is _Status.LOST:
             member.decoder = pressures.PressureDecoder(member.instance)
-            member.revision = ids.Revision(
-                0
-            )  # Listeners dropped it with the loss.
+            # Listeners dropped the revision when the member was lost, so it
+            # must be published again.
+            member.revision = ids.Revision(0)
             return [_make_joined(member)]
         return [
             messages.SuspicionRefuted(
@@ -267,7 +267,7 @@
         member.sequence = evidence.sequence
     member.known_sequence = max(member.known_sequence, evidence.sequence)
     member.address = evidence.address
-    member.heard_at = now
+    member.last_seen_at = now
     member.silence_timeout_s = evidence.silence_timeout_s
     member.removal_timeout_s = evidence.removal_timeout_s
 
--- a/pollenfork/membership/tests/test_actor.py
+++ b/pollenfork/membership/tests/test_actor.py
@@ -172,9 +172,8 @@
         _make_datagram(msgspec.structs.replace(_HEARTBEAT, sequence=2))
     )
     harness.tell(actor.Leave())
-    assert (
-        harness.failures()["ValueError"] == 2
-    )  # MemberJoined and PeerRevision.
+    # One failure each for MemberJoined and PeerRevision.
+    assert harness.failures()["ValueError"] == 2
     last = wire.decode_heartbeat(harness.datagrams.sent[-1][0]).unwrap()
     assert last.status is messages.MemberStatus.LEFT
 
@@ -192,8 +191,8 @@
     )
     summary = wire.Summary(1, far.update.instance, ids.DataCentre("b"), (far,))
     answer = harness.ref.ask(actor.ServeExchange(wire.encode(summary)))
-    told = wire.decode_summary(answer.unwrap()).unwrap()
-    assert [entry.update.instance for entry in told.entries] == ["entry-0"]
+    replied = wire.decode_summary(answer.unwrap()).unwrap()
+    assert [entry.update.instance for entry in replied.entries] == ["entry-0"]
     joined, revised = harness.events
     assert (joined.instance, joined.data_centre) == ("far", "b")
     assert revised.revision == 9
--- a/pollenfork/membership/tests/test_core.py
+++ b/pollenfork/membership/tests/test_core.py
@@ -131,12 +131,12 @@
     lost = [type(event) for event in node.events].index(messages.MemberLost)
     net.cuts.clear()
     net.run(3.0)
-    told = [
+    revisions = [
         event.revision
         for event in node.events[lost:]
         if isinstance(event, messages.PeerRevision)
     ]
-    assert told == [net.nodes["entry-1"].revision]
+    assert revisions == [net.nodes["entry-1"].revision]
 
 
 def test_pause_of_this_instance_causes_no_suspicion():
@@ -209,9 +209,9 @@
     net.cuts.clear()
     before = len(node.reports)
     net.run(3.0)
-    heard = [e for e in node.events if isinstance(e, messages.PressureHeard)]
+    received = [e for e in node.events if isinstance(e, messages.PressureHeard)]
     assert len(node.reports) == before + 1
-    sequences = [event.sequence for event in heard]
+    sequences = [event.sequence for event in received]
     assert sequences == sorted(set(sequences))
     assert len(sequences) > 20
 
@@ -354,8 +354,8 @@
     late = _find_last_named(net, "entry-0:1")
     net.run(2.0)
     heartbeat = wire.decode_heartbeat(late.body).unwrap()
-    heard = _update(heartbeat, _STATUS.LIVE, heartbeat.sequence + 5)
-    _send_update(node, net, heard)
+    received = _update(heartbeat, _STATUS.LIVE, heartbeat.sequence + 5)
+    _send_update(node, net, received)
     assert _status(node, "entry-0", net.now) is _STATUS.LIVE
     net.run(2.0)
     assert _status(node, "entry-0", net.now) is _STATUS.SUSPECTED
@@ -420,9 +420,9 @@
         ids.InstanceId("x"), ids.DataCentre("a"), "x:1"
     )
     me = local_member.LocalMember(identity, ids.Incarnation(10))
-    said = ids.Incarnation(10 + later)
+    reported = ids.Incarnation(10 + later)
     me.receive_update(
-        wire.MemberUpdate(identity.instance, said, 5, status, address)
+        wire.MemberUpdate(identity.instance, reported, 5, status, address)
     )
     assert me.incarnation == incarnation
     assert me.status is _STATUS.LIVE
--- a/pollenfork/membership/tests/test_pressures.py
+++ b/pollenfork/membership/tests/test_pressures.py
@@ -47,14 +47,14 @@
     return demands, set(pressure.occupancies), pressure.leaving
 
 
-def _assert_same(heard, sent):
-    heard_demands, *heard_rest = _cells(heard)
+def _assert_same(decoded, sent):
+    decoded_demands, *decoded_rest = _cells(decoded)
     sent_demands, *sent_rest = _cells(sent)
-    assert heard_rest == sent_rest
-    assert heard_demands.keys() == sent_demands.keys()
+    assert decoded_rest == sent_rest
+    assert decoded_demands.keys() == sent_demands.keys()
     for cell, (waiting, wait_ms) in sent_demands.items():
-        assert heard_demands[cell][0] == waiting
-        assert abs(heard_demands[cell][1] - wait_ms) <= 100
+        assert decoded_demands[cell][0] == waiting
+        assert abs(decoded_demands[cell][1] - wait_ms) <= 100
 
 
 @given(
@@ -76,12 +76,12 @@
         body = encoder.encode_delta(sent, now)
         if sequence == lost:
             continue
-        heard = decoder.apply(sequence, body)
+        decoded = decoder.apply(sequence, body)
         if sequence == 1 or sequence - 1 == lost:
-            failure = heard.unwrap_err()
+            failure = decoded.unwrap_err()
             assert isinstance(failure, errors.MissingBase)
-            heard = decoder.apply(sequence, encoder.encode_full())
-        _assert_same(heard.unwrap(), sent)
+            decoded = decoder.apply(sequence, encoder.encode_full())
+        _assert_same(decoded.unwrap(), sent)
 
 
 def test_deltas_ahead_of_full_state_are_buffered():
