--- a/pollenfork/answers/attempt.py
+++ b/pollenfork/answers/attempt.py
@@ -62,7 +62,7 @@
         self._gone = threading.Event()
         self._second: Attempts | None = None
         self.first: engine.First | None = None
-        caller.when_gone(self.interrupt)
+        caller.on_disconnect(self.interrupt)
 
     def open(self) -> result.Result[engine.First, errors.AnswerFailure]:
         """Returns the head and first bytes, from whichever endpoint."""
@@ -159,7 +159,7 @@
         return result.Ok(second.first)
 
     def _is_gone(self) -> bool:
-        return self._gone.is_set() or self.caller.is_gone()
+        return self._gone.is_set() or self.caller.is_disconnected()
 
     def _try_first(self) -> result.Result[engine.First, errors.Cause]:
         return self._send(self._call.body).and_then(self._read_first)
--- a/pollenfork/answers/edges.py
+++ b/pollenfork/answers/edges.py
@@ -25,10 +25,10 @@
 class Caller(Protocol):
     """The caller's connection."""
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the caller's connection has ended."""
 
-    def when_gone(self, call: Callable[[], None]) -> None:
+    def on_disconnect(self, call: Callable[[], None]) -> None:
         """Calls `call` once, from any thread, when the caller goes."""
 
     def count_unsent(self) -> int:
@@ -38,11 +38,11 @@
 class PresentCaller:
     """A caller of whom nothing is known: taken to stay."""
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns False."""
         return False
 
-    def when_gone(self, call: Callable[[], None]) -> None:
+    def on_disconnect(self, call: Callable[[], None]) -> None:
         """Ignores the call."""
 
     def count_unsent(self) -> int:
--- a/pollenfork/answers/tests/far_ends.py
+++ b/pollenfork/answers/tests/far_ends.py
@@ -168,10 +168,10 @@
         self.gone = False
         self._calls: list = []
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         return self.gone
 
-    def when_gone(self, call) -> None:
+    def on_disconnect(self, call) -> None:
         self._calls.append(call)
 
     def count_unsent(self) -> int:
--- a/pollenfork/entry/server.py
+++ b/pollenfork/entry/server.py
@@ -50,11 +50,11 @@
         self._gone_calls: list[Callable[[], None]] = []
         super().__init__(*args, **kwargs)
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the connection has ended."""
         return not self.connected
 
-    def when_gone(self, call: Callable[[], None]) -> None:
+    def on_disconnect(self, call: Callable[[], None]) -> None:
         """Calls `call` when the connection ends before its answer did."""
         self._gone_calls.append(call)
         if not self.connected:
--- a/pollenfork/entry/tests/test_channel.py
+++ b/pollenfork/entry/tests/test_channel.py
@@ -37,7 +37,7 @@
         if environ["PATH_INFO"] != WORK:
             yield b"ok"
             return
-        environ[work.CALLER].when_gone(self.gone.set)
+        environ[work.CALLER].on_disconnect(self.gone.set)
         self.entered.release()
         yield CHUNK
         self.released.wait(20)
