--- a/pollenfork/answers/__init__.py
+++ b/pollenfork/answers/__init__.py
@@ -1,1 +1,1 @@
-"""Relay of answers from endpoints, kept whole: resume and continue."""
+"""Relay of endpoints' answers; resumes or continues those that break."""
--- a/pollenfork/answers/kept.py
+++ b/pollenfork/answers/answer_buffer.py
@@ -1,12 +1,12 @@
-"""What was relayed of an answer, kept in little memory for a continuation."""
+"""Compressed buffer of a relayed answer, for continuing it elsewhere."""
 
 from typing import Any
 import zlib
 
 import msgspec
 
-_BLOCK = 32 * 1024
-_LEVEL = 1
+_BLOCK_BYTES = 32 * 1024
+_COMPRESSION_LEVEL = 1
 
 
 class _Delta(msgspec.Struct):
@@ -27,10 +27,11 @@
 _decode = msgspec.json.Decoder(_Chunk).decode
 
 
-class KeptAnswer:
-    """The bytes relayed so far, compressed, up to `limit` bytes.
+class AnswerBuffer:
+    """The bytes relayed so far, compressed to at most `limit` bytes.
 
-    Over the limit all of it is let go: a part is of no use.
+    Above the limit everything is discarded, since a part of the answer can't
+    be continued.
     """
 
     __slots__ = ("_block", "_limit", "_packed", "_packed_size", "_size", "lost")
@@ -44,19 +45,19 @@
         self._packed_size = 0
 
     def add(self, events: bytes) -> None:
-        """Keeps whole events."""
+        """Appends complete events."""
         if self.lost:
             return
         self._block.append(events)
         self._size += len(events)
-        if self._size >= _BLOCK:
+        if self._size >= _BLOCK_BYTES:
             self._pack()
 
     def read_text(self) -> str | None:
         """Returns the answer's text so far.
 
-        None when it wasn't kept, has several choices, calls tools, or isn't
-        in the form of a completion: then no engine can continue it.
+        None if it was discarded, has several choices, calls tools or isn't a
+        completion: then no engine can continue it.
         """
         if self.lost:
             return None
@@ -65,15 +66,15 @@
         for line in b"".join(blocks + self._block).split(b"\n"):
             if not line.startswith(b"data:") or line == b"data: [DONE]":
                 continue
-            part = _read_part(line[len(b"data:") :])
+            part = _extract_text(line[len(b"data:") :])
             if part is None:
                 return None
             text.append(part)
         return "".join(text)
 
     def _pack(self) -> None:
-        # Each block alone: a compressor kept open would hold 256 KiB.
-        packed = zlib.compress(b"".join(self._block), _LEVEL)
+        # Blocks are compressed one by one: an open compressor holds 256 KiB.
+        packed = zlib.compress(b"".join(self._block), _COMPRESSION_LEVEL)
         self._block.clear()
         self._size = 0
         self._packed.append(packed)
@@ -83,26 +84,26 @@
             self._packed.clear()
 
 
-def write_continuation(
+def build_continuation(
     body: bytes, text: str | None, tokens: int
 ) -> bytes | None:
-    """Returns the request's body asking to go on after `text`.
+    """Returns the request's body with `continue_from` set to `text`.
 
-    None when the text isn't known or the body isn't a JSON object.
+    None if the text isn't available or the body isn't a JSON object.
     """
     if text is None:
         return None
     try:
-        asked: Any = msgspec.json.decode(body)
+        request: Any = msgspec.json.decode(body)
     except msgspec.MsgspecError:
         return None
-    if not isinstance(asked, dict):
+    if not isinstance(request, dict):
         return None
-    asked["continue_from"] = {"text": text, "tokens": tokens}
-    return msgspec.json.encode(asked)
+    request["continue_from"] = {"text": text, "tokens": tokens}
+    return msgspec.json.encode(request)
 
 
-def _read_part(data: bytes) -> str | None:
+def _extract_text(data: bytes) -> str | None:
     try:
         choices = _decode(data).choices
     except msgspec.MsgspecError:
--- a/pollenfork/answers/cancels.py
+++ b/pollenfork/answers/cancels.py
@@ -1,4 +1,4 @@
-"""Cancels of attempts at their engines, confirmed, off the callers' threads."""
+"""Cancels attempts at their engines, in threads of its own."""
 
 from collections.abc import Callable
 import concurrent.futures
@@ -13,11 +13,11 @@
 
 _LOG = logging.getLogger(__name__)
 _THREADS = 8
-_TRIES = 2
+_MAX_TRIES = 2
 
 
 class CancelReason(enum.Enum):
-    """Why an attempt is cancelled; each has its counter."""
+    """Why an attempt is cancelled; each reason has its own counter."""
 
     CALLER_GONE = "caller_gone"
     BROKEN_BEFORE_FIRST = "broken_before_first"
@@ -27,37 +27,35 @@
 
 
 class Canceller:
-    """Cancels attempts and counts what the endpoints say."""
+    """Cancels attempts and counts the endpoints' replies."""
 
     def __init__(
-        self, limits: messages.Limits, counted: counters.Counters
+        self, limits: messages.Limits, relay_counters: counters.Counters
     ) -> None:
         self._limits = limits
-        self._counters = counted
+        self._counters = relay_counters
         self._pool = concurrent.futures.ThreadPoolExecutor(
             _THREADS, thread_name_prefix="cancel"
         )
 
     def stop(self) -> None:
-        """Finishes the cancels under way."""
+        """Waits for the running cancels to finish."""
         self._pool.shutdown()
 
     def cancel(
         self, grant: dispatch_messages.Grant, reason: CancelReason
     ) -> endpoint_edges.CancelOutcome | None:
-        """Cancels and waits; None when the endpoint didn't confirm it."""
+        """Cancels and waits; returns None if the endpoint didn't confirm."""
         self._counters.count(self._counters.cancels, reason.value)
-        said: str = "unconfirmed"
+        result_label: str = "unconfirmed"
         outcome = None
-        for _ in range(_TRIES):
-            cancelled = engine.cancel(
-                grant.address, grant.attempt, self._limits
-            )
-            if cancelled.is_ok():
-                outcome = cancelled.unwrap()
-                said = outcome.value
+        for _ in range(_MAX_TRIES):
+            reply = engine.cancel(grant.address, grant.attempt, self._limits)
+            if reply.is_ok():
+                outcome = reply.unwrap()
+                result_label = outcome.value
                 break
-        self._counters.count(self._counters.cancel_outcomes, said)
+        self._counters.count(self._counters.cancel_outcomes, result_label)
         _LOG.info(
             "event=cancelled request=%s attempt=%s endpoint=%s reason=%s"
             " outcome=%s",
@@ -65,25 +63,26 @@
             grant.attempt,
             grant.endpoint,
             reason.value,
-            said,
+            result_label,
         )
         return outcome
 
-    def cancel_soon(
+    def cancel_in_background(
         self,
         grant: dispatch_messages.Grant,
         reason: CancelReason,
-        then: Callable[[], None],
+        on_done: Callable[[], None],
     ) -> None:
-        """Cancels on another thread and calls `then` when that is done."""
+        """Cancels in another thread and then calls `on_done`."""
 
         def run() -> None:
             try:
                 self.cancel(grant, reason)
             finally:
-                then()
+                on_done()
 
         try:
             self._pool.submit(run)
-        except RuntimeError:  # Stopped: the engine sees the closed connection.
-            then()
+        except RuntimeError:
+            # The pool is shut down; the engine sees the closed connection.
+            on_done()
--- a/pollenfork/answers/counters.py
+++ b/pollenfork/answers/counters.py
@@ -1,25 +1,25 @@
-"""What the relay counts, as plain integers; the metrics read them."""
+"""Counters of the relay, as plain integers; the metrics read them."""
 
 import collections
 import threading
 
 
 class Counters:
-    """Counts of the relay, each by the reason's value.
+    """Counters of the relay; those with labels are keyed by the value.
 
     Attributes:
         retries: Attempts at another endpoint before the first byte.
-        resumes: Broken streams taken up again at the same engine.
-        continuations: Answers gone on with at another engine.
-        hedges: Second copies, by what became of them.
-        cancels: Attempts cancelled, by the reason.
-        cancel_outcomes: What the endpoints said to that.
+        resumes: Broken streams resumed at the same engine.
+        continuations: Answers continued at another engine.
+        hedges: Hedged copies, by outcome.
+        cancels: Cancelled attempts, by reason.
+        cancel_outcomes: Endpoints' replies to cancels.
         broken: Answers that ended with an error event.
         failed: Requests that got no answer.
-        finished: Answers that reached their caller whole.
-        tokens_relayed: Tokens passed on.
-        tokens_saved: Tokens not generated again, thanks to continuing.
-        duplicates_dropped: Events that came twice.
+        finished: Answers delivered completely.
+        tokens_relayed: Tokens sent to callers.
+        tokens_saved: Tokens that continuations didn't generate again.
+        duplicates_dropped: Events received twice.
     """
 
     def __init__(self) -> None:
@@ -38,18 +38,20 @@
         self.duplicates_dropped = 0
 
     def count(self, counter: collections.Counter[str], reason: str) -> None:
-        """Adds one to `counter` under `reason`; safe from any thread."""
+        """Adds one to `counter` under `reason`; thread-safe."""
         with self._lock:
             counter[reason] += 1
 
-    def add_answer(self, *, finished: bool, tokens: int, repeats: int) -> None:
-        """Notes the end of an answer."""
+    def add_answer(
+        self, *, finished: bool, tokens: int, duplicates: int
+    ) -> None:
+        """Counts an answer that has ended."""
         with self._lock:
             self.finished += finished
             self.tokens_relayed += tokens
-            self.duplicates_dropped += repeats
+            self.duplicates_dropped += duplicates
 
     def add_saved(self, tokens: int) -> None:
-        """Notes tokens that didn't have to be generated again."""
+        """Counts tokens that a continuation didn't generate again."""
         with self._lock:
             self.tokens_saved += tokens
--- a/pollenfork/answers/edges.py
+++ b/pollenfork/answers/edges.py
@@ -1,4 +1,4 @@
-"""What the relay needs of its surroundings."""
+"""Interfaces that the relay depends on."""
 
 from collections.abc import Callable
 import concurrent.futures
@@ -11,15 +11,15 @@
 
 
 class Slots(Protocol):
-    """Where attempts are granted and their course is reported."""
+    """Grants attempts and receives reports about them."""
 
     def ask_again(
         self, again: dispatch_messages.AskAgain
     ) -> concurrent.futures.Future[Decision]:
-        """Asks for another endpoint for an admitted request."""
+        """Requests another endpoint for an admitted request."""
 
     def report(self, event: Any) -> None:
-        """Tells of the attempt's course; returns at once."""
+        """Reports an event of an attempt; doesn't block."""
 
 
 class Caller(Protocol):
@@ -29,14 +29,14 @@
         """Returns whether the caller's connection has ended."""
 
     def on_disconnect(self, call: Callable[[], None]) -> None:
-        """Calls `call` once, from any thread, when the caller goes."""
+        """Calls `call` once, from any thread, when the caller disconnects."""
 
     def count_unsent(self) -> int:
-        """Returns bytes that the caller's connection hasn't taken yet."""
+        """Returns the number of bytes not yet written to the connection."""
 
 
 class PresentCaller:
-    """A caller of whom nothing is known: taken to stay."""
+    """A caller without a known connection; it never disconnects."""
 
     def is_disconnected(self) -> bool:
         """Returns False."""
--- a/pollenfork/answers/engine.py
+++ b/pollenfork/answers/engine.py
@@ -1,8 +1,8 @@
-"""The data path's protocol towards endpoints: one exchange, a connection each.
+"""HTTP client for endpoints; each exchange uses a connection of its own.
 
 urllib3 connects, sends the request and parses the answer's head. A streamed
-answer is asked for in HTTP/1.0, so that it isn't chunked, and its body is then
-read from the socket as it comes.
+answer is requested over HTTP/1.0, so that it isn't chunked, and its body is
+then read directly from the socket.
 """
 
 import socket
@@ -22,9 +22,9 @@
 _READ_BYTES = 65536
 _EVENT_STREAM = "text/event-stream"
 _OK = 200
-_NOT_RUN = "not_run"
-_REFUSALS = (429, 503)
-_DROPPED = frozenset(
+_OUTCOME_NOT_RUN = "not_run"
+_REFUSAL_STATUSES = (429, 503)
+_DROPPED_HEADERS = frozenset(
     {
         "accept-encoding",
         "authorization",
@@ -42,7 +42,7 @@
 )
 
 _Cause = errors.Cause
-_Lost = (OSError, urllib3.exceptions.HTTPError)
+_CONNECTION_ERRORS = (OSError, urllib3.exceptions.HTTPError)
 
 
 class _StreamConnection(urllib3.connection.HTTPConnection):
@@ -50,7 +50,7 @@
     _http_vsn_str = "HTTP/1.0"
 
 
-class Head(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """Status and headers of an answer."""
 
     status: int
@@ -65,12 +65,12 @@
         )
 
 
-class First(msgspec.Struct, frozen=True):
-    """The head and the first bytes, or all of them when `whole`."""
+class ResponseStart(msgspec.Struct, frozen=True):
+    """The head and the first bytes, or the whole body if `complete`."""
 
-    head: Head
+    head: ResponseHead
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Exchange:
@@ -87,7 +87,7 @@
 
     @property
     def socket(self) -> socket.socket:
-        """The connection's socket, from which a stream's body is read."""
+        """The connection's socket, for reading a stream's body."""
         assert self._socket
         return self._socket
 
@@ -97,33 +97,33 @@
         grant: dispatch_messages.Grant,
         body: bytes,
         head_s: float,
-    ) -> result.Result[Head, errors.Cause]:
+    ) -> result.Result[ResponseHead, errors.Cause]:
         """Sends the call and returns the answer's head, within `head_s`."""
         headers = {
             name: value
             for name, value in call.headers
-            if name.lower() not in _DROPPED
+            if name.lower() not in _DROPPED_HEADERS
         }
         headers["X-Request-Id"] = grant.attempt
         headers["X-Priority"] = str(grant.priority)
         if not self._connect(call.streamed, head_s):
             return result.Err(_Cause.NEVER_SENT)
-        return self._ask(call.method, call.path, headers, body)
+        return self._request(call.method, call.path, headers, body)
 
     def resume(
         self, attempt: ids.AttemptId, position: int
-    ) -> result.Result[Head, errors.Cause]:
-        """Asks the engine for the rest of a stream it still has."""
+    ) -> result.Result[ResponseHead, errors.Cause]:
+        """Requests the rest of a stream that the engine still holds."""
         path = f"/v1/streams/{attempt}?from={position}"
         if not self._connect(True, self._limits.stall_s):
             return result.Err(_Cause.STREAM_UNKNOWN)
-        asked = self._ask("GET", path, {}, b"")
-        if asked.is_err() or asked.unwrap().status != _OK:
+        response = self._request("GET", path, {}, b"")
+        if response.is_err() or response.unwrap().status != _OK:
             return result.Err(_Cause.STREAM_UNKNOWN)
-        return asked
+        return response
 
     def begin_stream(self) -> None:
-        """Empties the parser's buffer, so that the socket has the rest."""
+        """Drains the parser's buffer; the rest is read from the socket."""
         assert self._response and self._socket
         parser: Any = self._response
         stream = parser._original_response.fp
@@ -132,15 +132,15 @@
             self._buffered = stream.read1(_READ_BYTES) or b""
 
     def take_buffered(self) -> bytes:
-        """Returns what was read of the stream's body with its head."""
+        """Returns the part of the stream's body read along with its head."""
         buffered, self._buffered = self._buffered, b""
         return buffered
 
     def read(self) -> bytes:
-        """Returns what comes next of a stream; empty at the end.
+        """Returns the next bytes of a stream; empty at its end.
 
         Raises:
-            TimeoutError: Nothing came in the time between two reads.
+            TimeoutError: Nothing arrived within `stall_s`.
         """
         self.socket.settimeout(self._limits.stall_s)
         try:
@@ -161,16 +161,16 @@
             ):
                 parts.append(part)
                 size += len(part)
-                if size > self._limits.whole:
+                if size > self._limits.max_body:
                     return result.Err(_Cause.OVERSIZE)
         except (TimeoutError, urllib3.exceptions.TimeoutError):
             return result.Err(_Cause.STALLED)
-        except _Lost:
+        except _CONNECTION_ERRORS:
             return result.Err(_Cause.CLOSED)
         return result.Ok(b"".join(parts))
 
     def interrupt(self) -> None:
-        """Ends reads that wait in another thread, now or later."""
+        """Ends current and later reads in other threads."""
         self._interrupted = True
         if self._socket:
             try:
@@ -194,7 +194,7 @@
         connection = kind(host.strip("[]"), int(port), timeout=connect_s)
         try:
             connection.connect()
-        except _Lost:
+        except _CONNECTION_ERRORS:
             return False
         connection.timeout = timeout_s
         connection.sock.settimeout(timeout_s)
@@ -202,9 +202,9 @@
         self._socket = connection.sock
         return not self._interrupted
 
-    def _ask(
+    def _request(
         self, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> result.Result[Head, errors.Cause]:
+    ) -> result.Result[ResponseHead, errors.Cause]:
         assert self._connection
         headers["Host"] = self._address
         headers["Connection"] = "close"
@@ -221,13 +221,15 @@
             response = self._connection.getresponse()
         except (TimeoutError, urllib3.exceptions.TimeoutError):
             return result.Err(_Cause.HEAD_LATE)
-        except (*_Lost, ValueError):
+        except (*_CONNECTION_ERRORS, ValueError):
             return result.Err(_Cause.NO_HEAD)
         self._response = response
-        cause = _judge(response)
+        cause = _find_failure(response)
         if cause:
             return result.Err(cause)
-        return result.Ok(Head(response.status, list(response.headers.items())))
+        return result.Ok(
+            ResponseHead(response.status, list(response.headers.items()))
+        )
 
 
 def cancel(
@@ -235,7 +237,7 @@
 ) -> result.Result[
     endpoint_edges.CancelOutcome, endpoint_edges.EndpointFailure
 ]:
-    """Cancels an attempt at its engine and says what became of it."""
+    """Cancels an attempt at its engine and returns the outcome."""
     body = msgspec.json.encode({"request_id": attempt})
     try:
         response = urllib3.request(
@@ -251,20 +253,20 @@
     except urllib3.exceptions.HTTPError as error:
         return result.Err(endpoint_edges.Unanswered(detail=str(error)))
     try:
-        said = msgspec.json.decode(response.data, type=_Cancelled)
+        reply = msgspec.json.decode(response.data, type=_Cancelled)
     except msgspec.MsgspecError as error:
         return result.Err(endpoint_edges.Rejected(detail=str(error)))
-    return result.Ok(said.outcome)
+    return result.Ok(reply.outcome)
 
 
 class _Cancelled(msgspec.Struct, frozen=True):
     outcome: endpoint_edges.CancelOutcome
 
 
-def _judge(response: urllib3.BaseHTTPResponse) -> errors.Cause | None:
-    if response.status < 500 and response.status not in _REFUSALS:
+def _find_failure(response: urllib3.BaseHTTPResponse) -> errors.Cause | None:
+    if response.status < 500 and response.status not in _REFUSAL_STATUSES:
         return None
     outcome = response.headers.get("X-Outcome")
-    if response.status in _REFUSALS and outcome == _NOT_RUN:
+    if response.status in _REFUSAL_STATUSES and outcome == _OUTCOME_NOT_RUN:
         return _Cause.REFUSED
     return None if response.status < 500 else _Cause.SERVER_ERROR
--- a/pollenfork/answers/events.py
+++ b/pollenfork/answers/events.py
@@ -1,7 +1,7 @@
-"""Wholeness of a stream of server-sent events, judged by its bytes.
+"""Checks the order and completeness of a stream of server-sent events.
 
-Nothing here parses JSON: a read that holds exactly the event expected next
-costs one comparison and one search.
+JSON isn't parsed: a read that holds exactly the event expected next costs one
+comparison and one search.
 """
 
 import re
@@ -15,15 +15,15 @@
 
 
 class EventReader:
-    """Takes reads of any size, gives whole events in order, once each.
+    """Turns reads of any size into complete events, each once and in order.
 
     Attributes:
         position: The position expected next.
         unnumbered: Events without a position since the last with one.
-        events: Events passed on.
-        duplicates: Events dropped because they had been passed on.
-        done: The finish marker has been passed on.
-        fault: Why nothing more can be taken from this connection.
+        events: Events returned so far.
+        duplicates: Events dropped because they were already returned.
+        done: The finish marker has been returned.
+        fault: Why this connection's stream is unusable from here on.
     """
 
     __slots__ = (
@@ -60,15 +60,15 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens seen so far, one to an event."""
+        """Tokens received so far, counting one per event."""
         return self.position or self.unnumbered
 
     def feed(self, data: bytes) -> bytes:
-        """Returns what can be passed on: whole events only."""
+        """Adds received bytes and returns the complete events to relay."""
         if self._tail:
             data = self._tail + data
             self._tail = b""
-        # The usual read: one whole event, the one expected.
+        # Fast path: the read is exactly the expected event.
         if (
             data.startswith(self._expected)
             and data.find(_END) == len(data) - 2
@@ -79,19 +79,19 @@
         return self._feed_events(data)
 
     def end(self) -> bytes:
-        """Returns a finish marker that lacks only its line ends, if any."""
+        """Returns the finish marker if only its line ends are missing."""
         tail, self._tail = self._tail, b""
         if self.done or tail.strip() != _FINISH:
             return b""
         self.done = True
         return _FINISH + _END
 
-    def restart(self, *, resumed: bool) -> None:
-        """Prepares for another connection that goes on at `position`.
+    def reconnect(self, *, resumed: bool) -> None:
+        """Prepares for another connection that continues at `position`.
 
         Args:
-            resumed: The same engine's stream; it may repeat events. Another
-                engine must begin exactly at `position`.
+            resumed: Whether the same engine's stream is resumed, which may
+                repeat events. Another engine must begin at `position`.
         """
         self._tail = b""
         self.fault = None
@@ -105,19 +105,19 @@
         self._tail = data[end:]
         if len(self._tail) > self._limit:
             self.fault = errors.Cause.OVERSIZE
-        passed = []
+        accepted = []
         for event in data[:end].split(_END)[:-1]:
             event = event.lstrip(b"\n")
             if self.done or self.fault:
                 break
-            if event and self._admit(event):
-                passed.append(event + _END)
-        return b"".join(passed)
-
-    def _admit(self, event: bytes) -> bool:
-        found = _POSITION.search(event)
-        if found:
-            return self._admit_position(int(found[1]))
+            if event and self._accept(event):
+                accepted.append(event + _END)
+        return b"".join(accepted)
+
+    def _accept(self, event: bytes) -> bool:
+        match = _POSITION.search(event)
+        if match:
+            return self._accept_position(int(match[1]))
         if event == _FINISH:
             self.done = True
             return True
@@ -131,7 +131,7 @@
         self.events += 1
         return True
 
-    def _admit_position(self, position: int) -> bool:
+    def _accept_position(self, position: int) -> bool:
         if position == self.position:
             self._advance()
             return True
--- a/pollenfork/answers/hedge.py
+++ b/pollenfork/answers/hedge.py
@@ -1,4 +1,4 @@
-"""A second copy of a request whose first token is late; the first wins."""
+"""Hedging: a copy of a request whose first token is late; the faster wins."""
 
 from collections.abc import Callable
 import enum
@@ -9,72 +9,72 @@
 from pollenfork.dispatch import messages as dispatch_messages
 
 
-class HedgeEnd(enum.Enum):
-    """What became of a second copy; each has its counter."""
+class HedgeOutcome(enum.Enum):
+    """The outcome of a hedged copy; each has its own counter."""
 
-    REFUSED = "refused"  # No slot for it: nothing was sent.
+    REFUSED = "refused"  # No slot was granted, so nothing was sent.
     WON = "won"
     LOST = "lost"
     FAILED = "failed"
 
 
-class Copy(Protocol):
-    """One copy of a request on its way to its first bytes."""
+class RequestCopy(Protocol):
+    """A copy of a request, up to its first bytes."""
 
-    def ask(self, reason: dispatch_messages.RetryReason) -> bool:
-        """Waits for a slot; False when there is none."""
+    def request_slot(self, reason: dispatch_messages.RetryReason) -> bool:
+        """Waits for a slot; returns False if none is granted."""
 
-    def run(self) -> bool:
-        """Sends; returns whether the first bytes came."""
+    def send_copy(self) -> bool:
+        """Sends the copy; returns whether its first bytes arrived."""
 
     def interrupt(self) -> None:
-        """Ends `ask` or `run` in another thread, now or later."""
+        """Ends current and later waits of other threads on the copy."""
 
-    def lose(self) -> None:
-        """Cancels a copy that isn't wanted."""
+    def cancel_copy(self) -> None:
+        """Cancels the copy."""
 
 
 class Hedge:
-    """Races a second copy against the first, which another thread runs."""
+    """Races a copy against the original, which another thread runs."""
 
     def __init__(
         self,
-        copy: Copy,
-        interrupt_first: Callable[[], None],
-        counted: counters.Counters,
+        copy: RequestCopy,
+        interrupt_original: Callable[[], None],
+        relay_counters: counters.Counters,
     ) -> None:
         self._copy = copy
-        self._interrupt_first = interrupt_first
-        self._counters = counted
+        self._interrupt_original = interrupt_original
+        self._counters = relay_counters
         self._lock = threading.Lock()
-        self._asked = False
+        self._started = False
         self._won = False
-        self._unwanted = False
-        self._ended = threading.Event()
+        self._cancelled = False
+        self._finished = threading.Event()
         self._timer: threading.Timer | None = None
 
     def start(self, after_s: float) -> None:
-        """Asks for the second copy after `after_s` seconds."""
+        """Starts the copy after `after_s` seconds."""
         self._timer = threading.Timer(after_s, self._run)
         self._timer.name = "hedge"
         self._timer.daemon = True
         self._timer.start()
 
-    def settle(self, first_came: bool) -> bool:
-        """Returns whether the second copy is the one to go on with.
+    def resolve(self, original_received: bool) -> bool:
+        """Returns whether the copy won.
 
-        Called by the first copy's thread at its end. A first copy that
-        failed by itself waits for the second one, if that is under way.
+        Called by the original's thread when the original has its first bytes
+        or has failed. If it failed, waits for a copy that has started.
         """
         with self._lock:
             if self._won:
                 return True
-            if first_came or not self._asked:
-                self._unwanted = True
-        if self._unwanted:
+            if original_received or not self._started:
+                self._cancelled = True
+        if self._cancelled:
             self._stop()
             return False
-        self._ended.wait()
+        self._finished.wait()
         return self._won
 
     def _stop(self) -> None:
@@ -84,23 +84,23 @@
 
     def _run(self) -> None:
         with self._lock:
-            if self._unwanted:
+            if self._cancelled:
                 return
-            self._asked = True
+            self._started = True
         try:
-            end = self._race()
+            outcome = self._race()
         finally:
-            self._ended.set()
-        self._counters.count(self._counters.hedges, end.value)
+            self._finished.set()
+        self._counters.count(self._counters.hedges, outcome.value)
 
-    def _race(self) -> HedgeEnd:
-        if not self._copy.ask(dispatch_messages.RetryReason.HEDGE):
-            return HedgeEnd.REFUSED
-        came = self._copy.run()
+    def _race(self) -> HedgeOutcome:
+        if not self._copy.request_slot(dispatch_messages.RetryReason.HEDGE):
+            return HedgeOutcome.REFUSED
+        received = self._copy.send_copy()
         with self._lock:
-            self._won = came and not self._unwanted
+            self._won = received and not self._cancelled
         if self._won:
-            self._interrupt_first()
-            return HedgeEnd.WON
-        self._copy.lose()
-        return HedgeEnd.LOST if self._unwanted else HedgeEnd.FAILED
+            self._interrupt_original()
+            return HedgeOutcome.WON
+        self._copy.cancel_copy()
+        return HedgeOutcome.LOST if self._cancelled else HedgeOutcome.FAILED
--- a/pollenfork/answers/messages.py
+++ b/pollenfork/answers/messages.py
@@ -1,4 +1,4 @@
-"""What the entry hands to the relay."""
+"""Requests and limits that the front end passes to the relay."""
 
 import msgspec
 
@@ -6,20 +6,20 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True):
-    """A request as it goes to an endpoint.
+    """A request as it is sent to an endpoint.
 
     Attributes:
-        headers: Those to pass on; hop-by-hop and keys are left out.
+        headers: Headers to forward, without hop-by-hop headers and keys.
         streamed: The caller asked for server-sent events.
-        idempotent: A second run does no harm.
+        idempotent: The request may safely run twice.
         first_token_due: Monotonic seconds.
         give_up_at: Monotonic seconds; no attempt starts later.
         timeout_s: Seconds for one attempt of a call that isn't streamed,
-            where the settings name one.
+            if the settings name a timeout.
         engine: The endpoint speaks the engine protocol; a plain service
             can't resume or cancel.
-        continuable: Keep what was relayed, so that the answer can be
-            continued at another endpoint.
+        continuable: Whether to buffer the answer, so that it can be continued
+            at another endpoint.
     """
 
     request: ids.RequestId
@@ -37,33 +37,33 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of the relay; times in seconds, sizes in bytes.
+    """Limits of the relay; times in seconds, sizes in bytes.
 
     Attributes:
-        connect_s: For a connection to an endpoint.
-        head_s: From a sent request to the answer's head.
-        late_s: How much later than its target the head of a stream may come
-            before the request goes elsewhere.
-        stall_s: Between two reads of a running answer.
-        again_s: The longest wait for another endpoint.
-        cancel_s: For one cancel call.
-        attempts: Sendings of one request before its first byte.
-        resumes: Resumes in a row without a new event.
+        connect_s: Timeout for connecting to an endpoint.
+        head_s: Timeout from the sent request to the answer's head.
+        head_grace_s: How long after the first-token target a stream's head
+            may arrive before the request is sent elsewhere.
+        stall_s: Longest pause between two reads of a running answer.
+        retry_wait_s: Longest wait for another endpoint.
+        cancel_s: Timeout of one cancel call.
+        attempts: Attempts of one request before its first byte.
+        resumes: Consecutive resumes without a new event.
         continuations: Continuations of one answer.
-        kept: What is kept of one answer, compressed.
-        event: The longest event.
-        whole: The longest answer that isn't streamed.
+        max_buffer: Size of one answer's compressed buffer.
+        max_event: Size of an event.
+        max_body: Size of an answer that isn't streamed.
     """
 
     connect_s: float = 1.0
     head_s: float = 120.0
-    late_s: float = 5.0
+    head_grace_s: float = 5.0
     stall_s: float = 10.0
-    again_s: float = 30.0
+    retry_wait_s: float = 30.0
     cancel_s: float = 1.0
     attempts: int = 4
     resumes: int = 2
     continuations: int = 3
-    kept: int = 256 * 1024
-    event: int = 1024 * 1024
-    whole: int = 32 * 1024 * 1024
+    max_buffer: int = 256 * 1024
+    max_event: int = 1024 * 1024
+    max_body: int = 32 * 1024 * 1024
--- a/pollenfork/answers/pump.py
+++ b/pollenfork/answers/pump.py
@@ -1,9 +1,9 @@
-"""One thread that moves the bytes of all running streams.
+"""A single thread that forwards the bytes of all running streams.
 
-A worker thread that holds a caller hands its stream over once the answer
-runs and gets it back when something other than bytes has to be dealt with:
-the end, a fault, a caller that reads slowly or went away. With a thread for
-each stream every event would cost a thread switch.
+A caller's worker thread hands its stream to the pump once the answer is
+running. The pump returns it on anything but plain data: the end, a fault, a
+caller that reads slowly or disconnected. With one thread per stream, every
+event would cost a thread switch.
 """
 
 from collections.abc import Callable
@@ -14,30 +14,30 @@
 import threading
 
 from pollenfork import clock
+from pollenfork.answers import answer_buffer
 from pollenfork.answers import errors
 from pollenfork.answers import events
-from pollenfork.answers import kept
 
 _LOG = logging.getLogger(__name__)
 _READ_BYTES = 16384
-_POLL_S = 0.5
-_PROGRESS_S = 2.0
+_POLL_INTERVAL_S = 0.5
+_PROGRESS_INTERVAL_S = 2.0
 
 
-class Flow:
-    """One stream on its way from an endpoint's socket to a caller.
+class PumpedStream:
+    """A stream that is forwarded from an endpoint's socket to a caller.
 
     Attributes:
-        cause: Why the stream broke, when it did.
-        error: What writing to the caller raised.
+        cause: Why the stream broke; None if it didn't.
+        error: The exception raised by writing to the caller, if any.
     """
 
     __slots__ = (
         "_returned",
+        "buffer",
         "cause",
         "count_unsent",
         "error",
-        "kept",
         "last",
         "note_progress",
         "reader",
@@ -50,14 +50,14 @@
         self,
         source: socket.socket,
         reader: events.EventReader,
-        keep: kept.KeptAnswer,
+        buffer: answer_buffer.AnswerBuffer,
         write: Callable[[bytes], object],
         count_unsent: Callable[[], int],
         note_progress: Callable[[], None],
     ) -> None:
         self.socket = source
         self.reader = reader
-        self.kept = keep
+        self.buffer = buffer
         self.write = write
         self.count_unsent = count_unsent
         self.note_progress = note_progress
@@ -67,8 +67,8 @@
         self.error: BaseException | None = None
         self._returned = threading.Event()
 
-    def move(self) -> bool:
-        """Moves what has come; returns whether the stream goes on as is."""
+    def transfer(self) -> bool:
+        """Forwards available bytes; returns whether to keep the stream."""
         try:
             data = self.socket.recv(_READ_BYTES)
         except BlockingIOError:
@@ -76,11 +76,11 @@
         except OSError:
             data = b""
         reader = self.reader
-        passed = reader.feed(data) if data else reader.end()
-        if passed:
-            self.kept.add(passed)
+        accepted = reader.feed(data) if data else reader.end()
+        if accepted:
+            self.buffer.add(accepted)
             try:
-                self.write(passed)
+                self.write(accepted)
             except BaseException as error:
                 self.error = error
                 return False
@@ -92,17 +92,17 @@
             self.cause is not None or reader.done or self.count_unsent()
         )
 
-    def give_back(self) -> None:
-        """Wakes the worker that waits for the stream."""
+    def release(self) -> None:
+        """Wakes the worker thread that waits for the stream."""
         self._returned.set()
 
     def wait(self) -> None:
-        """Waits until the pump gives the stream back."""
+        """Blocks until the pump releases the stream."""
         self._returned.wait()
 
 
 class Pump:
-    """The thread and the streams it holds."""
+    """The forwarding thread and its streams."""
 
     def __init__(self, now: clock.Clock, stall_s: float) -> None:
         self._clock = now
@@ -110,9 +110,9 @@
         self._poller = select.epoll()
         self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poller.register(self._wake, select.EPOLLIN)
-        self._flows: dict[int, Flow] = {}
+        self._streams: dict[int, PumpedStream] = {}
         self._stopping = threading.Event()
-        self._carrying = threading.Lock()  # Nothing joins after the stop.
+        self._lock = threading.Lock()  # No stream is added after `stop`.
         self._thread = threading.Thread(
             target=self._run, name="pump", daemon=True
         )
@@ -122,68 +122,69 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread; streams it holds go back to their workers."""
-        with self._carrying:
+        """Stops the thread and returns its streams to their workers."""
+        with self._lock:
             self._stopping.set()
         os.eventfd_write(self._wake, 1)
         if self._thread.is_alive():
             self._thread.join()
-        for fd in list(self._flows):
+        for fd in list(self._streams):
             self._release(fd)
         self._poller.close()
         os.close(self._wake)
 
-    def carry(self, flow: Flow) -> bool:
-        """Moves the stream until it needs its worker.
+    def forward(self, stream: PumpedStream) -> bool:
+        """Forwards the stream until it needs its worker.
 
-        Returns False when the thread doesn't run: the worker moves it then.
+        Returns False if the thread isn't running; the worker must then
+        forward the stream itself.
         """
-        flow.last = flow.reported = self._clock.monotonic()
-        flow.socket.settimeout(0)
-        fd = flow.socket.fileno()
-        with self._carrying:
+        stream.last = stream.reported = self._clock.monotonic()
+        stream.socket.settimeout(0)
+        fd = stream.socket.fileno()
+        with self._lock:
             if self._stopping.is_set() or not self._thread.is_alive():
                 return False
-            self._flows[fd] = flow
+            self._streams[fd] = stream
             self._poller.register(fd, select.EPOLLIN)
-        flow.wait()
+        stream.wait()
         return True
 
     def _run(self) -> None:
-        swept = self._clock.monotonic()
+        checked_at = self._clock.monotonic()
         while not self._stopping.is_set():
-            ready = self._poller.poll(_POLL_S)
+            ready = self._poller.poll(_POLL_INTERVAL_S)
             now = self._clock.monotonic()
             for fd, _ in ready:
                 if fd != self._wake:
-                    self._move(fd, now)
-            if now - swept > _POLL_S:
-                swept = now
-                self._sweep(now)
-
-    def _move(self, fd: int, now: float) -> None:
-        flow = self._flows[fd]
-        flow.last = now
+                    self._transfer(fd, now)
+            if now - checked_at > _POLL_INTERVAL_S:
+                checked_at = now
+                self._check_stalls(now)
+
+    def _transfer(self, fd: int, now: float) -> None:
+        stream = self._streams[fd]
+        stream.last = now
         try:
-            goes_on = flow.move()
+            keeps_pumping = stream.transfer()
         except Exception as error:
             _LOG.exception("event=pump_failed")
-            flow.error = error
-            goes_on = False
-        if not goes_on:
+            stream.error = error
+            keeps_pumping = False
+        if not keeps_pumping:
             self._release(fd)
 
-    def _sweep(self, now: float) -> None:
+    def _check_stalls(self, now: float) -> None:
         due = now - self._stall_s
-        for fd, flow in list(self._flows.items()):
-            if flow.last < due:
-                flow.cause = errors.Cause.STALLED
+        for fd, stream in list(self._streams.items()):
+            if stream.last < due:
+                stream.cause = errors.Cause.STALLED
                 self._release(fd)
-            elif now - flow.reported >= _PROGRESS_S:
-                flow.reported = now
-                flow.note_progress()
+            elif now - stream.reported >= _PROGRESS_INTERVAL_S:
+                stream.reported = now
+                stream.note_progress()
 
     def _release(self, fd: int) -> None:
-        flow = self._flows.pop(fd)
+        stream = self._streams.pop(fd)
         self._poller.unregister(fd)
-        flow.give_back()
+        stream.release()
--- a/pollenfork/answers/session.py
+++ b/pollenfork/answers/session.py
@@ -1,4 +1,4 @@
-"""Relay of answers from their endpoints to the callers."""
+"""Relays answers from endpoints to callers."""
 
 from collections.abc import Iterator
 
@@ -36,12 +36,12 @@
 
 
 class Answer:
-    """An answer whose first bytes are there.
+    """An answer whose first bytes have been received.
 
     Attributes:
         status: HTTP status.
-        headers: To pass on to the caller.
-        chunks: The body; closing it means that the caller is gone.
+        headers: Headers to send to the caller.
+        chunks: The body; closing it early cancels the request.
     """
 
     def __init__(
@@ -56,10 +56,10 @@
 
 
 class Relay:
-    """Opens answers at endpoints and sees them through.
+    """Sends requests to endpoints and relays their answers.
 
     Attributes:
-        counters: What happened so far; for the metrics.
+        counters: The relay's counters, for the metrics.
     """
 
     def __init__(
@@ -76,11 +76,11 @@
         self._canceller = cancels.Canceller(self._limits, self.counters)
 
     def start(self) -> None:
-        """Starts the thread that moves running streams."""
+        """Starts the thread that forwards running streams."""
         self._pump.start()
 
     def stop(self) -> None:
-        """Ends the thread and finishes the cancels under way."""
+        """Stops the thread and waits for running cancels."""
         self._pump.stop()
         self._canceller.stop()
 
@@ -90,16 +90,16 @@
         grant: dispatch_messages.Grant,
         caller: edges.Caller | None = None,
     ) -> result.Result[Answer, errors.AnswerFailure]:
-        """Sends the call and returns once its first bytes are there.
+        """Sends the call and returns once the first bytes have arrived.
 
-        Tries other endpoints where a second run can do no harm. On failure
-        the request is closed towards the slots.
+        Tries other endpoints if the request may safely run twice. On failure
+        the request is reported as closed.
         """
-        work = attempt.Attempts(
+        attempts = attempt.AttemptSequence(
             call,
             grant,
             caller or edges.PresentCaller(),
-            slot.Tools(
+            slot.Dependencies(
                 slots=self._slots,
                 clock=self._clock,
                 limits=self._limits,
@@ -108,17 +108,17 @@
                 pump=self._pump,
             ),
         )
-        opened = work.open()
+        opened = attempts.open()
         if opened.is_err():
             return result.Err(opened.unwrap_err())
-        first = opened.unwrap()
-        head = first.head
+        start = opened.unwrap()
+        head = start.head
         headers = [
             (name, value)
             for name, value in head.headers
             if name.lower() not in _HOP_BY_HOP
         ]
-        if first.whole:
-            headers.append(("Content-Length", str(len(first.body))))
-        chunks = stream.Chunks(work, first.body, first.whole)
+        if start.complete:
+            headers.append(("Content-Length", str(len(start.body))))
+        chunks = stream.AnswerBody(attempts, start.body, start.complete)
         return result.Ok(Answer(head.status, headers, chunks))
--- a/pollenfork/answers/slot.py
+++ b/pollenfork/answers/slot.py
@@ -1,4 +1,4 @@
-"""The slot that a request holds: asked for, reported on, given up."""
+"""The endpoint slot that a request holds: requesting, reporting, releasing."""
 
 import concurrent.futures
 import threading
@@ -18,7 +18,7 @@
 _End = dispatch_messages.AttemptEnd
 
 
-_ENDS = {
+_ATTEMPT_ENDS = {
     errors.Cause.NEVER_SENT: _End.NEVER_SENT,
     errors.Cause.REFUSED: _End.REFUSED_BY_ENDPOINT,
     errors.Cause.HEAD_LATE: _End.TIMED_OUT,
@@ -26,16 +26,16 @@
 }
 
 
-def describe_end(
+def get_attempt_end(
     cause: errors.Cause, *, midway: bool = False
 ) -> dispatch_messages.AttemptEnd:
-    """Returns how an attempt ended that failed by `cause`."""
+    """Returns how an attempt that failed with `cause` ended."""
     fallback = _End.BROKEN_MIDWAY if midway else _End.BROKEN_BEFORE_FIRST
-    return _ENDS.get(cause, fallback)
+    return _ATTEMPT_ENDS.get(cause, fallback)
 
 
-class Tools(NamedTuple):
-    """What all requests of a relay share."""
+class Dependencies(NamedTuple):
+    """Dependencies that all requests of a relay share."""
 
     slots: edges.Slots
     clock: clock.Clock
@@ -46,67 +46,67 @@
 
 
 class Slot:
-    """One request's slot, at one endpoint after another.
+    """The slot of one request, at one endpoint after another.
 
     Attributes:
-        engine: The endpoint speaks the engine protocol, so can cancel.
-        first_seen: The first token of the attempt in use has been reported.
+        engine: The endpoint speaks the engine protocol, so it can cancel.
+        first_seen: The current attempt's first token has been reported.
     """
 
     def __init__(
-        self, grant: dispatch_messages.Grant, tools: Tools, engine: bool
+        self, grant: dispatch_messages.Grant, deps: Dependencies, engine: bool
     ) -> None:
         self.engine = engine
         self.first_seen = False
-        self._tools = tools
+        self._deps = deps
         self._request = grant.request
         self._grant = grant
         self._held = True
         self._avoid: list[ids.EndpointId] = [grant.endpoint]
         self._decided = threading.Event()
-        self._gone = False
+        self._interrupted = False
 
     @property
     def grant(self) -> dispatch_messages.Grant:
-        """The grant in use, or the last one."""
+        """The current grant, or the last one."""
         return self._grant
 
     def fork(self) -> "Slot":
-        """Returns a slot for a second copy, which has yet to be asked for."""
-        second = Slot(self._grant, self._tools, self.engine)
+        """Returns a slot for a copy of the request, without a grant yet."""
+        second = Slot(self._grant, self._deps, self.engine)
         second._held = False
         second._avoid = list(self._avoid)
         return second
 
-    def note_first(self) -> None:
+    def report_first_token(self) -> None:
         """Reports the attempt's first token, once."""
         if self.first_seen:
             return
         self.first_seen = True
-        at = self._tools.clock.monotonic()
+        at = self._deps.clock.monotonic()
         attempt = self._grant.attempt
-        self._tools.slots.report(
+        self._deps.slots.report(
             dispatch_messages.FirstToken(attempt=attempt, at=at)
         )
 
-    def note_progress(self, tokens: int) -> None:
+    def report_progress(self, tokens: int) -> None:
         """Reports how many tokens the attempt has generated so far."""
-        self._tools.slots.report(
+        self._deps.slots.report(
             dispatch_messages.Progress(
                 attempt=self._grant.attempt,
                 tokens=tokens,
-                at=self._tools.clock.monotonic(),
+                at=self._deps.clock.monotonic(),
             )
         )
 
-    def note_gone(self) -> None:
-        """Ends a wait for another grant: the caller is gone."""
-        self._gone = True
+    def interrupt_wait(self) -> None:
+        """Ends current and later waits for a grant."""
+        self._interrupted = True
         self._decided.set()
 
     def ask_again(self, reason: dispatch_messages.RetryReason) -> bool:
-        """Waits for another grant; False when refused, late or unwanted."""
-        pending = self._tools.slots.ask_again(
+        """Waits for a grant; False if refused, late or interrupted."""
+        pending = self._deps.slots.ask_again(
             dispatch_messages.AskAgain(
                 request=self._request,
                 reason=reason,
@@ -115,10 +115,10 @@
         )
         self._decided.clear()
         pending.add_done_callback(lambda _: self._decided.set())
-        if not self._gone:
-            self._decided.wait(self._tools.limits.again_s)
+        if not self._interrupted:
+            self._decided.wait(self._deps.limits.retry_wait_s)
         if not pending.done():
-            pending.add_done_callback(self._return_late)
+            pending.add_done_callback(self._release_late_grant)
             return False
         decision = pending.result()
         if not isinstance(decision, dispatch_messages.Grant):
@@ -138,38 +138,38 @@
     def cancel(
         self, reason: cancels.CancelReason
     ) -> endpoint_edges.CancelOutcome | None:
-        """Cancels at the endpoint and waits for what it says."""
+        """Cancels at the endpoint and waits for its reply."""
         if not self.engine:
             return None
-        return self._tools.canceller.cancel(self._grant, reason)
+        return self._deps.canceller.cancel(self._grant, reason)
 
-    def cancel_soon(
+    def cancel_in_background(
         self,
         reason: cancels.CancelReason,
         how: dispatch_messages.AttemptEnd,
         tokens: int,
     ) -> None:
-        """Cancels; the slot is free once the endpoint confirmed that."""
+        """Starts a cancel; the slot is released once that has finished."""
         if not self.engine:
             self.end(how, tokens)
         if not self._held:
             return
         self._held = False
         grant = self._grant
-        self._tools.canceller.cancel_soon(
+        self._deps.canceller.cancel_in_background(
             grant, reason, lambda: self._report_end(grant, how, tokens)
         )
 
     def close(self) -> None:
         """Reports that the request is over."""
-        self._tools.slots.report(
+        self._deps.slots.report(
             dispatch_messages.RequestClosed(request=self._request)
         )
 
-    def _return_late(
+    def _release_late_grant(
         self, pending: concurrent.futures.Future[edges.Decision]
     ) -> None:
-        """Gives back a slot that nobody waits for any more."""
+        """Releases a slot granted after the wait for it has ended."""
         decision = pending.result()
         if isinstance(decision, dispatch_messages.Grant):
             self._report_end(decision, _End.NEVER_SENT, 0)
@@ -180,11 +180,11 @@
         how: dispatch_messages.AttemptEnd,
         tokens: int,
     ) -> None:
-        self._tools.slots.report(
+        self._deps.slots.report(
             dispatch_messages.AttemptEnded(
                 attempt=grant.attempt,
                 how=how,
                 tokens=tokens,
-                at=self._tools.clock.monotonic(),
+                at=self._deps.clock.monotonic(),
             )
         )
--- a/pollenfork/answers/stream.py
+++ b/pollenfork/answers/stream.py
@@ -1,4 +1,4 @@
-"""The body of an answer as the caller's side iterates over it."""
+"""The body of an answer, as an iterator for the WSGI server."""
 
 from collections.abc import Callable, Iterator
 
@@ -9,90 +9,90 @@
 from pollenfork.answers import pump
 
 
-class Chunks(Iterator[bytes]):
+class AnswerBody(Iterator[bytes]):
     """The answer's bytes; closing it before the end cancels the attempt."""
 
     def __init__(
-        self, attempts: attempt.Attempts, first: bytes, whole: bool
+        self, attempts: attempt.AttemptSequence, first: bytes, complete: bool
     ) -> None:
         self._attempts = attempts
         self._first: bytes | None = first
-        self._whole = whole
-        self._whole_tokens = _count_tokens(first) if whole else None
+        self._complete = complete
+        self._complete_tokens = _count_tokens(first) if complete else None
         self._ended = False
         self._write: Callable[[bytes], object] | None = None
 
     def attach(self, write: Callable[[bytes], object]) -> None:
-        """Lets the relay write later bytes itself, from its own thread.
+        """Lets the relay write later bytes directly, from its own thread.
 
         Args:
-            write: Writes to the caller, as PEP 3333's `write`.
+            write: Writes to the caller, like PEP 3333's `write`.
         """
         self._write = write
 
     def __next__(self) -> bytes:
-        """Returns the next bytes, recovered where the stream broke."""
+        """Returns the next bytes, after recovering the stream if it broke."""
         if self._ended:
             raise StopIteration
         if self._first is not None:
             first, self._first = self._first, None
             return first
-        if self._whole or self._attempts.reader.done:
+        if self._complete or self._attempts.reader.done:
             self._finish()
             raise StopIteration
         while True:
-            moved = self._move()
-            if isinstance(moved, errors.Cause):
-                moved = self._recover(moved)
-            if moved:
-                return moved
+            data_or_cause = self._read_next()
+            if isinstance(data_or_cause, errors.Cause):
+                data_or_cause = self._recover(data_or_cause)
+            if data_or_cause:
+                return data_or_cause
             if self._attempts.reader.done:
                 self._finish()
                 raise StopIteration
 
     def close(self) -> None:
-        """Ends the request; before the end the caller counts as gone."""
+        """Ends the request; before the answer's end, this cancels it."""
         if not self._ended:
             self._ended = True
             self._attempts.abandon()
 
     def _finish(self) -> None:
         self._ended = True
-        self._attempts.finish(self._whole_tokens)
+        self._attempts.finish(self._complete_tokens)
 
     def _recover(self, cause: errors.Cause) -> bytes:
         recovered = self._attempts.recover(cause)
         if recovered.is_ok():
             return b""
         self._ended = True
-        return write_error_event(recovered.unwrap_err())
+        return encode_error_event(recovered.unwrap_err())
 
-    def _move(self) -> bytes | errors.Cause:
-        """Moves bytes until there is something to say about them."""
+    def _read_next(self) -> bytes | errors.Cause:
+        """Returns the next bytes, or why there are none."""
         attempts = self._attempts
         if attempts.reader.fault:
             return attempts.reader.fault
         data = attempts.exchange.take_buffered()
         if not data:
-            if self._may_carry():
-                return self._carry()
+            if self._can_forward():
+                return self._forward()
             try:
                 data = attempts.exchange.read()
             except TimeoutError:
                 return errors.Cause.STALLED
         reader = attempts.reader
-        passed = reader.feed(data) if data else reader.end()
-        if passed:
-            attempts.slot.note_first()
-            attempts.kept.add(passed)
-            return passed
+        accepted = reader.feed(data) if data else reader.end()
+        if accepted:
+            attempts.slot.report_first_token()
+            attempts.buffer.add(accepted)
+            return accepted
         if reader.fault:
             return reader.fault
         if not data and not reader.done:
             return errors.Cause.CLOSED
         return b""
 
-    def _may_carry(self) -> bool:
+    def _can_forward(self) -> bool:
         attempts = self._attempts
         return (
             self._write is not None
@@ -100,23 +100,23 @@
             and not attempts.caller.count_unsent()
         )
 
-    def _carry(self) -> bytes | errors.Cause:
+    def _forward(self) -> bytes | errors.Cause:
         attempts = self._attempts
         assert self._write
-        flow = pump.Flow(
+        pumped = pump.PumpedStream(
             attempts.exchange.socket,
             attempts.reader,
-            attempts.kept,
+            attempts.buffer,
             self._write,
             attempts.caller.count_unsent,
-            attempts.note_progress,
+            attempts.report_progress,
         )
-        if not attempts.tools.pump.carry(flow):
+        if not attempts.deps.pump.forward(pumped):
             self._write = None
             return b""
-        if flow.error:
-            raise flow.error
-        return flow.cause or b""
+        if pumped.error:
+            raise pumped.error
+        return pumped.cause or b""
 
 
 class _Usage(msgspec.Struct, frozen=True):
@@ -128,7 +128,7 @@
 
 
 def _count_tokens(body: bytes) -> int:
-    """Returns what an answer that isn't streamed says of its length."""
+    """Returns the token count stated in an answer that isn't streamed."""
     try:
         usage = msgspec.json.decode(body, type=_Completion).usage
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -149,8 +149,8 @@
     error: _Error
 
 
-def write_error_event(failure: errors.AnswerFailure) -> bytes:
-    """Returns the event that ends an answer which isn't whole."""
+def encode_error_event(failure: errors.AnswerFailure) -> bytes:
+    """Returns the event that ends an incomplete answer."""
     error = _Error(
         message=failure.detail,
         code="answer_broken",
--- a/pollenfork/answers/tests/far_ends.py
+++ b/pollenfork/answers/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Far ends of the relay: an engine that follows a script, and slots."""
+"""Fakes of what the relay talks to: a scripted engine, slots and a caller."""
 
 import concurrent.futures
 import contextlib
@@ -14,30 +14,30 @@
 
 STREAM_HEAD = b"HTTP/1.0 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 DONE = b"data: [DONE]\n\n"
-LOST = b""  # The connection ends before the head.
+NO_RESPONSE = b""  # Closes the connection before the head.
 UNKNOWN_STREAM = (
     b"HTTP/1.0 404 Not Found\r\nContent-Type: application/json\r\n\r\n"
     b'{"error":{"code":"unknown_stream"}}'
 )
 LIMITS = messages.Limits(
-    connect_s=2, head_s=5, stall_s=5, again_s=5, cancel_s=2
+    connect_s=2, head_s=5, stall_s=5, retry_wait_s=5, cancel_s=2
 )
 
 
-def write_event(position: int) -> bytes:
+def encode_event(position: int) -> bytes:
     data = {"choices": [{"index": 0, "delta": {"content": f"t{position} "}}]}
     return b"id: %d\ndata: %b\n\n" % (position, json.dumps(data).encode())
 
 
-def write_events(start: int, end: int) -> bytes:
-    return b"".join(write_event(n) for n in range(start, end))
+def encode_events(start: int, end: int) -> bytes:
+    return b"".join(encode_event(n) for n in range(start, end))
 
 
-def write_whole(tokens: int) -> bytes:
-    return write_events(0, tokens) + DONE
+def encode_stream(tokens: int) -> bytes:
+    return encode_events(0, tokens) + DONE
 
 
-def write_reply(status: str, body: bytes, **headers: str) -> bytes:
+def encode_response(status: str, body: bytes, **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status}", "Content-Type: application/json"]
     headers = {"Content_Length": str(len(body)), **headers}
     lines += [f"{n.replace('_', '-')}: {v}" for n, v in headers.items()]
@@ -59,7 +59,7 @@
         self.cancelled = cancelled
         self.calls: list[str] = []
         self.bodies: list[dict] = []
-        self.last_words = b""  # Sent by `stop`, where the engine holds.
+        self.held_bytes = b""  # Sent on `stop` by an engine that holds.
         self.answered = threading.Event()
         self.cancel_asked = threading.Event()
         self._holds = holds
@@ -89,7 +89,7 @@
         with connection, connection.makefile("rb") as lines:
             first = lines.readline().decode()
             if not first:
-                return  # Interrupted before anything was sent.
+                return  # The relay was interrupted before it sent anything.
             method, path, _ = first.split(" ")
             length = 0
             while (line := lines.readline()) not in (b"\r\n", b""):
@@ -103,14 +103,14 @@
             if self._holds and "/cancel" not in path:
                 self.answered.set()
                 self._released.wait(10)
-                with contextlib.suppress(OSError):  # The relay may be gone.
-                    connection.sendall(self.last_words)
+                with contextlib.suppress(OSError):  # The relay may have closed.
+                    connection.sendall(self.held_bytes)
 
     def _choose(self, path: str, body: bytes) -> bytes:
         if path == "/v1/cancel":
             self.cancel_asked.set()
-            said = json.dumps({"outcome": self.cancelled}).encode()
-            return write_reply("200 OK", said)
+            reply = json.dumps({"outcome": self.cancelled}).encode()
+            return encode_response("200 OK", reply)
         if path.startswith("/v1/streams/"):
             return self.resumes.pop(0) if self.resumes else UNKNOWN_STREAM
         if body.startswith(b"{"):
@@ -160,16 +160,16 @@
         ]
 
 
-class Caller:
-    """A caller whose connection the test ends."""
+class FakeCaller:
+    """A caller that the test disconnects."""
 
     def __init__(self, engine: ScriptedEngine | None = None) -> None:
         self.engine = engine
-        self.gone = False
+        self.disconnected = False
         self._calls: list = []
 
     def is_disconnected(self) -> bool:
-        return self.gone
+        return self.disconnected
 
     def on_disconnect(self, call) -> None:
         self._calls.append(call)
@@ -177,8 +177,8 @@
     def count_unsent(self) -> int:
         return 0
 
-    def go(self) -> None:
-        self.gone = True
+    def disconnect(self) -> None:
+        self.disconnected = True
         for call in self._calls:
             call()
 
--- a/pollenfork/answers/tests/test_core.py
+++ b/pollenfork/answers/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Bounds of the recovery's decisions."""
+"""Limits and safety of the recovery decisions."""
 
 import hypothesis
 from hypothesis import strategies
@@ -25,7 +25,7 @@
     idempotent=strategies.booleans(),
     relayed=strategies.booleans(),
 )
-def test_decisions_end_and_never_run_twice_what_may_not(
+def test_recovery_ends_and_never_reruns_unsafe_requests(
     causes: list[errors.Cause], idempotent: bool, relayed: bool
 ) -> None:
     recovery = make_recovery(idempotent)
@@ -33,7 +33,10 @@
     for tries, cause in enumerate(causes):
         position = 3 if relayed else 0
         progress = core.Progress(
-            relayed=relayed, position=position, numbered=relayed, kept=True
+            relayed=relayed,
+            position=position,
+            numbered=relayed,
+            text_available=True,
         )
         action = recovery.decide(cause, progress, now=0.0)
         in_doubt = in_doubt or cause not in core.PROVED_NOT_RUN
@@ -59,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("causes", "again"),
+    ("causes", "resent"),
     [
         ((Cause.NEVER_SENT,), True),
         ((Cause.NEVER_SENT, Cause.NEVER_SENT), True),
@@ -69,21 +72,21 @@
     ],
 )
 def test_what_may_run_once_is_sent_again_only_if_no_byte_was_sent(
-    causes: tuple[errors.Cause, ...], again: bool
+    causes: tuple[errors.Cause, ...], resent: bool
 ) -> None:
     recovery = core.Recovery(
         streamed=False, idempotent=False, give_up_at=10.0, limits=LIMITS
     )
     for cause in causes:
         action = recovery.decide(cause, core.Progress(), now=0.0)
-    assert isinstance(action, core.Restart) == again
+    assert isinstance(action, core.Restart) == resent
 
 
-def test_progress_renews_the_resumes() -> None:
+def test_new_events_reset_the_resume_limit() -> None:
     recovery = make_recovery(idempotent=False)
     for position in range(1, 20):
         progress = core.Progress(
-            relayed=True, position=position, numbered=True, kept=True
+            relayed=True, position=position, numbered=True, text_available=True
         )
         action = recovery.decide(Cause.CLOSED, progress, now=0.0)
         assert action == core.Resume(position)
--- a/pollenfork/answers/tests/test_events.py
+++ b/pollenfork/answers/tests/test_events.py
@@ -1,26 +1,26 @@
-"""Whole events in order, once each, however the bytes are cut."""
+"""Events are returned complete, in order and once, wherever reads split."""
 
 import hypothesis
 from hypothesis import strategies
 import pytest
 
+from pollenfork.answers import answer_buffer
 from pollenfork.answers import core
 from pollenfork.answers import errors
 from pollenfork.answers import events
-from pollenfork.answers import kept
 from pollenfork.answers import messages
-from pollenfork.answers.tests import far_ends
+from pollenfork.answers.tests import fakes
 from pollenfork.dispatch import messages as dispatch_messages
 
 RetryReason = dispatch_messages.RetryReason
 LIMIT = 4096
 TOKENS = 8
-WHOLE = far_ends.write_whole(TOKENS)
+WHOLE = fakes.encode_stream(TOKENS)
 
 
 @strategies.composite
 def draw_connections(draw) -> list[tuple[int, int, list[int]]]:
-    """For each connection: repeats, bytes until its cut, read sizes."""
+    """Draws repeats, bytes until the cut and read sizes for each connection."""
     connections = []
     for _ in range(draw(strategies.integers(1, 6))):
         repeats = draw(strategies.integers(0, 3))
@@ -55,7 +55,7 @@
         start = reader.position
         if isinstance(action, core.Resume):
             start = max(0, start - repeats)
-        data = far_ends.write_events(start, TOKENS) + far_ends.DONE
+        data = fakes.encode_events(start, TOKENS) + fakes.DONE
         for read in split(data[:until], sizes):
             passed += reader.feed(read)
             assert reader.fault is None
@@ -67,7 +67,7 @@
             relayed=bool(passed),
             position=reader.position,
             numbered=reader.numbered,
-            kept=True,
+            text_available=True,
         )
         action = recovery.decide(errors.Cause.CLOSED, progress, now=0.0)
         if isinstance(action, core.GiveUp):
@@ -78,12 +78,12 @@
         else:
             assert action.position == reader.position
             resumed = isinstance(action, core.Resume)
-            reader.restart(resumed=resumed)
+            reader.reconnect(resumed=resumed)
     assert reader.done == (passed == WHOLE)
     assert reader.events == passed.count(b"\n\n") - reader.done
 
 
-EVENT = far_ends.write_event
+EVENT = fakes.encode_event
 Cause = errors.Cause
 
 
@@ -102,7 +102,7 @@
         (WHOLE + EVENT(9), WHOLE, None),
     ],
 )
-def test_read_passes_only_what_is_expected(
+def test_feed_returns_only_expected_events(
     data: bytes, passed: bytes, fault: errors.Cause | None
 ) -> None:
     reader = events.EventReader(LIMIT)
@@ -110,38 +110,38 @@
     assert reader.fault is fault
 
 
-def test_continuation_must_begin_at_the_position() -> None:
+def test_continuation_must_begin_at_the_expected_position() -> None:
     reader = events.EventReader(LIMIT)
-    reader.feed(far_ends.write_events(0, 3))
-    reader.restart(resumed=False)
+    reader.feed(fakes.encode_events(0, 3))
+    reader.reconnect(resumed=False)
     assert reader.feed(EVENT(2)) == b""
     assert reader.fault is Cause.NOT_CONTINUED
 
 
 @pytest.mark.parametrize("tokens", [1, 2000])
-def test_kept_answer_gives_its_text_back(tokens: int) -> None:
-    keep = kept.KeptAnswer(1 << 20)
+def test_buffer_returns_the_answers_text(tokens: int) -> None:
+    buffer = answer_buffer.AnswerBuffer(1 << 20)
     for position in range(tokens):
-        keep.add(EVENT(position))
-    keep.add(b": ping\n\n")
+        buffer.add(EVENT(position))
+    buffer.add(b": ping\n\n")
     expected = "".join(f"t{position} " for position in range(tokens))
-    assert keep.read_text() == expected
+    assert buffer.read_text() == expected
 
 
 @pytest.mark.parametrize(
     ("limit", "data"),
     [
         (0, EVENT(0)),
-        (100, far_ends.write_events(0, 2000)),
+        (100, fakes.encode_events(0, 2000)),
         (1 << 20, b'data: {"choices":[{"index":1,"text":"b"}]}\n\n'),
         (1 << 20, b'data: {"choices":[{"delta":{"tool_calls":[{}]}}]}\n\n'),
         (1 << 20, b"data: plain\n\n"),
     ],
     ids=["not_kept", "over_limit", "two_choices", "tools", "not_json"],
 )
-def test_answer_that_cannot_be_continued_gives_no_text(
+def test_answer_that_cannot_be_continued_has_no_text(
     limit: int, data: bytes
 ) -> None:
-    keep = kept.KeptAnswer(limit)
-    keep.add(data)
-    assert keep.read_text() is None
+    buffer = answer_buffer.AnswerBuffer(limit)
+    buffer.add(data)
+    assert buffer.read_text() is None
--- a/pollenfork/answers/tests/test_faults.py
+++ b/pollenfork/answers/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Contract of the relay: a table of faults and what the caller gets."""
+"""The relay's behaviour on each fault: what the caller receives."""
 
 import json
 import socket
@@ -8,23 +8,25 @@
 
 from pollenfork import failures
 from pollenfork.answers import errors
-from pollenfork.answers.tests import far_ends
+from pollenfork.answers.tests import fakes
 
-HEAD = far_ends.STREAM_HEAD
-EVENTS = far_ends.write_events
-WHOLE = far_ends.write_whole(5)
-GONE = far_ends.UNKNOWN_STREAM
+HEAD = fakes.STREAM_HEAD
+EVENTS = fakes.encode_events
+WHOLE = fakes.encode_stream(5)
+UNKNOWN_STREAM = fakes.UNKNOWN_STREAM
 ERROR = b'data: {"error": {"message": "out of memory"}}\n\n'
-CUT = far_ends.write_event(2)[:17]
-BARE = b"".join(far_ends.write_event(n).split(b"\n", 1)[1] for n in range(5))
+PARTIAL_EVENT = fakes.encode_event(2)[:17]
+UNNUMBERED = b"".join(
+    fakes.encode_event(n).split(b"\n", 1)[1] for n in range(5)
+)
 USAGE = b'data: {"choices": [], "usage": {"completion_tokens": 5}}\n\n'
-BUSY = far_ends.write_reply("503 Busy", b"{}", X_Outcome="not_run")
-FAILED = far_ends.write_reply("500 Oops", b"{}")
-BAD = far_ends.write_reply("400 Bad", b'{"error":{}}')
+REFUSAL = fakes.encode_response("503 Busy", b"{}", X_Outcome="not_run")
+SERVER_ERROR = fakes.encode_response("500 Oops", b"{}")
+BAD_REQUEST = fakes.encode_response("400 Bad", b'{"error":{}}')
 
 
 class Case(NamedTuple):
-    """One fault: scripts of the two engines, and what must come of it."""
+    """One fault: the scripts of the two engines and the expected result."""
 
     first: tuple[bytes, ...]
     resumes: tuple[bytes, ...] = ()
@@ -48,7 +50,7 @@
     "no_fault": Case((HEAD + WHOLE,)),
     "not_idempotent_no_fault": Case((HEAD + WHOLE,), idempotent=False),
     "crash_before_head": Case(
-        (far_ends.LOST,), (), (HEAD + WHOLE,), resumed=1, retried=1,
+        (fakes.NO_RESPONSE,), (), (HEAD + WHOLE,), resumed=1, retried=1,
         ends=RETRIED,
     ),
     "crash_before_first_event": Case(
@@ -58,52 +60,52 @@
         (HEAD,), (HEAD + WHOLE,), resumed=1
     ),
     "not_idempotent_cut_before_head_resumed": Case(
-        (far_ends.LOST,), (HEAD + WHOLE,), resumed=1, idempotent=False
+        (fakes.NO_RESPONSE,), (HEAD + WHOLE,), resumed=1, idempotent=False
     ),
     "cut_inside_event_resumed": Case(
-        (HEAD + EVENTS(0, 2) + CUT,), (HEAD + EVENTS(2, 5) + far_ends.DONE,),
-        resumed=1,
+        (HEAD + EVENTS(0, 2) + PARTIAL_EVENT,),
+        (HEAD + EVENTS(2, 5) + fakes.DONE,), resumed=1,
     ),
     "cut_before_done_resumed": Case(
-        (HEAD + EVENTS(0, 5),), (HEAD + far_ends.DONE,), resumed=1
+        (HEAD + EVENTS(0, 5),), (HEAD + fakes.DONE,), resumed=1
     ),
     "cut_inside_done": Case((HEAD + EVENTS(0, 5) + b"data: [DONE]\n",)),
     "cut_twice_resumed": Case(
         (HEAD + EVENTS(0, 2),),
-        (HEAD + EVENTS(2, 4) + CUT, HEAD + EVENTS(4, 5) + far_ends.DONE),
+        (HEAD + EVENTS(2, 4) + PARTIAL_EVENT, HEAD + EVENTS(4, 5) + fakes.DONE),
         resumed=2,
     ),
     "repeats_after_resume": Case(
-        (HEAD + EVENTS(0, 3),), (HEAD + EVENTS(1, 5) + far_ends.DONE,),
+        (HEAD + EVENTS(0, 3),), (HEAD + EVENTS(1, 5) + fakes.DONE,),
         resumed=1, repeats=2,
     ),
     "repeats_of_usage_after_resume": Case(
-        (HEAD + EVENTS(0, 5) + USAGE,), (HEAD + USAGE + far_ends.DONE,),
-        resumed=1, passed=EVENTS(0, 5) + USAGE + far_ends.DONE,
+        (HEAD + EVENTS(0, 5) + USAGE,), (HEAD + USAGE + fakes.DONE,),
+        resumed=1, passed=EVENTS(0, 5) + USAGE + fakes.DONE,
     ),
     "gap_resumed": Case(
-        (HEAD + EVENTS(0, 2) + EVENTS(3, 5) + far_ends.DONE,),
-        (HEAD + EVENTS(2, 5) + far_ends.DONE,), resumed=1,
+        (HEAD + EVENTS(0, 2) + EVENTS(3, 5) + fakes.DONE,),
+        (HEAD + EVENTS(2, 5) + fakes.DONE,), resumed=1,
     ),
     "gap_remains_continued": Case(
         (HEAD + EVENTS(0, 3) + EVENTS(4, 5),),
         (HEAD + EVENTS(4, 5), HEAD + EVENTS(4, 5)),
-        (HEAD + EVENTS(3, 5) + far_ends.DONE,),
+        (HEAD + EVENTS(3, 5) + fakes.DONE,),
         resumed=2, continued=1, saved=3, ends=CONTINUED,
     ),
     "crash_midway_continued": Case(
-        (HEAD + EVENTS(0, 3) + CUT,), (GONE,),
-        (HEAD + EVENTS(3, 5) + far_ends.DONE,),
+        (HEAD + EVENTS(0, 3) + PARTIAL_EVENT,), (UNKNOWN_STREAM,),
+        (HEAD + EVENTS(3, 5) + fakes.DONE,),
         resumed=1, continued=1, saved=3, ends=CONTINUED,
     ),
     "crash_at_last_event_continued": Case(
-        (HEAD + EVENTS(0, 5),), (GONE,), (HEAD + far_ends.DONE,),
+        (HEAD + EVENTS(0, 5),), (UNKNOWN_STREAM,), (HEAD + fakes.DONE,),
         resumed=1, continued=1, saved=5,
         ends=(("a0", "broken_midway", 5), ("a1", "finished", 0)),
     ),
     "error_event_continued": Case(
         (HEAD + EVENTS(0, 3) + ERROR,), (),
-        (HEAD + EVENTS(3, 5) + far_ends.DONE,),
+        (HEAD + EVENTS(3, 5) + fakes.DONE,),
         continued=1, saved=3, ends=CONTINUED,
     ),
     "other_engine_begins_again": Case(
@@ -112,27 +114,27 @@
         ends=(("a0", "broken_midway", 3), ("a1", "broken_before_first", 0)),
     ),
     "no_other_engine": Case(
-        (HEAD + EVENTS(0, 3),), (GONE,), whole=False, passed=EVENTS(0, 3),
-        resumed=1, ends=BROKEN,
+        (HEAD + EVENTS(0, 3),), (UNKNOWN_STREAM,),
+        whole=False, passed=EVENTS(0, 3), resumed=1, ends=BROKEN,
     ),
     "not_idempotent_never_continued": Case(
-        (HEAD + EVENTS(0, 3),), (GONE,), (HEAD + EVENTS(3, 5),),
+        (HEAD + EVENTS(0, 3),), (UNKNOWN_STREAM,), (HEAD + EVENTS(3, 5),),
         whole=False, passed=EVENTS(0, 3), resumed=1, idempotent=False,
         ends=BROKEN,
     ),
     "unnumbered_whole": Case(
-        (HEAD + BARE + far_ends.DONE,), passed=BARE + far_ends.DONE
+        (HEAD + UNNUMBERED + fakes.DONE,), passed=UNNUMBERED + fakes.DONE
     ),
     "unnumbered_cut": Case(
-        (HEAD + BARE,), (), (HEAD + BARE + far_ends.DONE,),
-        whole=False, passed=BARE, ends=(("a0", "broken_midway", 5),),
+        (HEAD + UNNUMBERED,), (), (HEAD + UNNUMBERED + fakes.DONE,),
+        whole=False, passed=UNNUMBERED, ends=(("a0", "broken_midway", 5),),
     ),
     "refused_before_run": Case(
-        (BUSY,), (), (HEAD + WHOLE,), retried=1,
+        (REFUSAL,), (), (HEAD + WHOLE,), retried=1,
         ends=(("a0", "refused_by_endpoint", 0), ("a1", "finished", 5)),
     ),
     "server_error": Case(
-        (FAILED,), (), (HEAD + WHOLE,), retried=1, ends=RETRIED
+        (SERVER_ERROR,), (), (HEAD + WHOLE,), retried=1, ends=RETRIED
     ),
 }  # fmt: skip
 
@@ -142,15 +144,15 @@
 def test_stream_is_whole_or_ends_with_an_error(
     case: Case, pumped: bool
 ) -> None:
-    first = far_ends.ScriptedEngine(case.first, case.resumes)
-    second = far_ends.ScriptedEngine(case.second)
+    first = fakes.ScriptedEngine(case.first, case.resumes)
+    second = fakes.ScriptedEngine(case.second)
     others = [second.address] if case.second else []
-    slots = far_ends.FakeSlots(others)
-    relay = far_ends.make_relay(slots)
-    call = far_ends.make_call(idempotent=case.idempotent)
+    slots = fakes.FakeSlots(others)
+    relay = fakes.make_relay(slots)
+    call = fakes.make_call(idempotent=case.idempotent)
 
-    opened = relay.open(call, far_ends.make_grant(first.address))
-    passed = far_ends.read_all(opened.unwrap(), pumped)
+    opened = relay.open(call, fakes.make_grant(first.address))
+    passed = fakes.read_all(opened.unwrap(), pumped)
     relay.stop()
 
     if case.whole:
@@ -180,8 +182,8 @@
 Cause = errors.Cause
 
 
-class Failing(NamedTuple):
-    """A request that gets no answer, and what may be said of it."""
+class FailureCase(NamedTuple):
+    """A request that gets no answer, and what is known of its effect."""
 
     script: bytes | None
     cause: errors.Cause
@@ -194,52 +196,50 @@
 
 
 FAILING_CASES = {
-    "nothing_listens": Failing(None, Cause.NEVER_SENT, NOT_RUN),
-    "refused": Failing(BUSY, Cause.REFUSED, NOT_RUN),
-    "not_idempotent_refused_is_not_sent_again": Failing(
-        BUSY, Cause.REFUSED, NOT_RUN, idempotent=False
+    "nothing_listens": FailureCase(None, Cause.NEVER_SENT, NOT_RUN),
+    "refused": FailureCase(REFUSAL, Cause.REFUSED, NOT_RUN),
+    "not_idempotent_refused_is_not_sent_again": FailureCase(
+        REFUSAL, Cause.REFUSED, NOT_RUN, idempotent=False
     ),
-    "crash_before_head": Failing(
-        far_ends.LOST, Cause.STREAM_UNKNOWN, UNKNOWN, cancels=1
+    "crash_before_head": FailureCase(
+        fakes.NO_RESPONSE, Cause.STREAM_UNKNOWN, UNKNOWN, cancels=1
     ),
-    "not_idempotent_crash": Failing(
+    "not_idempotent_crash": FailureCase(
         HEAD, Cause.STREAM_UNKNOWN, UNKNOWN, idempotent=False, cancels=1
     ),
-    "not_idempotent_server_error": Failing(
-        FAILED, Cause.SERVER_ERROR, UNKNOWN, idempotent=False, cancels=1
+    "not_idempotent_server_error": FailureCase(
+        SERVER_ERROR, Cause.SERVER_ERROR, UNKNOWN, idempotent=False, cancels=1
     ),
-    "cancel_proves_not_run": Failing(
-        far_ends.LOST, Cause.NO_HEAD, NOT_RUN,
+    "cancel_proves_not_run": FailureCase(
+        fakes.NO_RESPONSE, Cause.NO_HEAD, NOT_RUN,
         streamed=False, idempotent=False, cancelled="not_run", cancels=1,
     ),
-    "cancel_proves_nothing": Failing(
-        far_ends.LOST, Cause.NO_HEAD, UNKNOWN,
+    "cancel_proves_nothing": FailureCase(
+        fakes.NO_RESPONSE, Cause.NO_HEAD, UNKNOWN,
         streamed=False, idempotent=False, cancelled="unknown_request",
         cancels=1,
     ),
-    "service_is_not_cancelled": Failing(
-        far_ends.LOST, Cause.NO_HEAD, UNKNOWN,
+    "service_is_not_cancelled": FailureCase(
+        fakes.NO_RESPONSE, Cause.NO_HEAD, UNKNOWN,
         streamed=False, idempotent=False, engine=False,
     ),
-    "short_body": Failing(
-        far_ends.write_reply("200 OK", b"{}", Content_Length="9"),
+    "short_body": FailureCase(
+        fakes.encode_response("200 OK", b"{}", Content_Length="9"),
         Cause.CLOSED, UNKNOWN, streamed=False, idempotent=False, cancels=1,
     ),
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("case", FAILING_CASES.values(), ids=FAILING_CASES)
-def test_failure_claims_only_what_is_proved(case: Failing) -> None:
+def test_failure_claims_only_what_is_proved(case: FailureCase) -> None:
     script = () if case.script is None else (case.script,)
-    engine = far_ends.ScriptedEngine(script, cancelled=case.cancelled)
+    engine = fakes.ScriptedEngine(script, cancelled=case.cancelled)
     address = engine.address if script else find_free_address()
-    slots = far_ends.FakeSlots([])
-    relay = far_ends.make_relay(slots)
-    call = far_ends.make_call(
-        case.streamed, case.idempotent, engine=case.engine
-    )
+    slots = fakes.FakeSlots([])
+    relay = fakes.make_relay(slots)
+    call = fakes.make_call(case.streamed, case.idempotent, engine=case.engine)
 
-    opened = relay.open(call, far_ends.make_grant(address))
+    opened = relay.open(call, fakes.make_grant(address))
     relay.stop()
 
     failure = opened.unwrap_err()
@@ -250,27 +250,27 @@
 
 
 def test_earlier_attempt_in_doubt_keeps_the_outcome_unknown() -> None:
-    first = far_ends.ScriptedEngine((FAILED,))
-    second = far_ends.ScriptedEngine((BUSY,))
-    relay = far_ends.make_relay(far_ends.FakeSlots([second.address]))
-    opened = relay.open(
-        far_ends.make_call(), far_ends.make_grant(first.address)
-    )
+    first = fakes.ScriptedEngine((SERVER_ERROR,))
+    second = fakes.ScriptedEngine((REFUSAL,))
+    relay = fakes.make_relay(fakes.FakeSlots([second.address]))
+    opened = relay.open(fakes.make_call(), fakes.make_grant(first.address))
     relay.stop()
     assert opened.unwrap_err().cause is Cause.REFUSED
     assert opened.unwrap_err().outcome is UNKNOWN
 
 
 PLAIN_CASES = {
-    "whole": (far_ends.write_reply("200 OK", b'{"a": 1}'), b'{"a": 1}', 200, 0),
+    "whole": (
+        fakes.encode_response("200 OK", b'{"a": 1}'), b'{"a": 1}', 200, 0,
+    ),
     "chunked": (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
         b"abcde", 200, 0,
     ),
-    "endpoints_own_refusal": (BAD, b'{"error":{}}', 400, 0),
+    "endpoints_own_refusal": (BAD_REQUEST, b'{"error":{}}', 400, 0),
     "short": (
-        far_ends.write_reply("200 OK", b"{}", Content_Length="9"),
+        fakes.encode_response("200 OK", b"{}", Content_Length="9"),
         b"second", 200, 1,
     ),
     "chunks_cut": (
@@ -285,31 +285,29 @@
     PLAIN_CASES.values(),
     ids=PLAIN_CASES,
 )
-def test_plain_answer_is_whole(
+def test_unstreamed_answer_is_complete(
     script: bytes, body: bytes, status: int, retried: int
 ) -> None:
-    first = far_ends.ScriptedEngine((script,))
-    reply = far_ends.write_reply("200 OK", b"second")
-    second = far_ends.ScriptedEngine((reply,))
-    relay = far_ends.make_relay(far_ends.FakeSlots([second.address]))
-    call = far_ends.make_call(streamed=False)
-    answer = relay.open(call, far_ends.make_grant(first.address)).unwrap()
+    first = fakes.ScriptedEngine((script,))
+    reply = fakes.encode_response("200 OK", b"second")
+    second = fakes.ScriptedEngine((reply,))
+    relay = fakes.make_relay(fakes.FakeSlots([second.address]))
+    call = fakes.make_call(streamed=False)
+    answer = relay.open(call, fakes.make_grant(first.address)).unwrap()
     assert answer.status == status
-    assert far_ends.read_all(answer, pumped=False) == body
+    assert fakes.read_all(answer, pumped=False) == body
     assert ("Content-Length", str(len(body))) in answer.headers
     relay.stop()
     assert relay.counters.retries.total() == retried
 
 
-def test_refused_stream_passes_on_the_endpoints_body() -> None:
-    engine = far_ends.ScriptedEngine((BAD,))
-    relay = far_ends.make_relay(far_ends.FakeSlots([]))
-    opened = relay.open(
-        far_ends.make_call(), far_ends.make_grant(engine.address)
-    )
+def test_refused_stream_relays_the_endpoints_body() -> None:
+    engine = fakes.ScriptedEngine((BAD_REQUEST,))
+    relay = fakes.make_relay(fakes.FakeSlots([]))
+    opened = relay.open(fakes.make_call(), fakes.make_grant(engine.address))
     relay.stop()
     assert opened.unwrap().status == 400
-    assert far_ends.read_all(opened.unwrap(), False) == b'{"error":{}}'
+    assert fakes.read_all(opened.unwrap(), False) == b'{"error":{}}'
 
 
 def find_free_address() -> str:
--- a/pollenfork/answers/tests/test_hedges.py
+++ b/pollenfork/answers/tests/test_hedges.py
@@ -1,4 +1,4 @@
-"""A second copy of a request whose first token is late."""
+"""Hedged copies of requests whose first token is late."""
 
 import concurrent.futures
 import threading
@@ -8,37 +8,37 @@
 import result
 
 from pollenfork.answers import engine
-from pollenfork.answers.tests import far_ends
+from pollenfork.answers.tests import fakes
 
-REPLY = far_ends.STREAM_HEAD + far_ends.write_whole(3)
-WHOLE = far_ends.write_whole(3)
+REPLY = fakes.STREAM_HEAD + fakes.encode_stream(3)
+WHOLE = fakes.encode_stream(3)
 LATER = 1000.0
 
 
 class Race:
-    """Two engines that hold back until released, and one request."""
+    """One request and two engines that hold their answers until released."""
 
     def __init__(self, after_s: float = 0.0, slots: int = 1) -> None:
-        self.first = far_ends.ScriptedEngine((b"",), holds=True)
-        self.second = far_ends.ScriptedEngine((b"",), holds=True)
-        self.first.last_words = REPLY
-        self.second.last_words = REPLY
-        self.slots = far_ends.FakeSlots([self.second.address] * slots)
-        self.relay = far_ends.make_relay(self.slots)
-        self.caller = far_ends.Caller()
+        self.first = fakes.ScriptedEngine((b"",), holds=True)
+        self.second = fakes.ScriptedEngine((b"",), holds=True)
+        self.first.held_bytes = REPLY
+        self.second.held_bytes = REPLY
+        self.slots = fakes.FakeSlots([self.second.address] * slots)
+        self.relay = fakes.make_relay(self.slots)
+        self.caller = fakes.FakeCaller()
         grant = msgspec.structs.replace(
-            far_ends.make_grant(self.first.address), hedge_after_s=after_s
+            fakes.make_grant(self.first.address), hedge_after_s=after_s
         )
         pool = concurrent.futures.ThreadPoolExecutor(1)
         self._pending = pool.submit(
-            self.relay.open, far_ends.make_call(), grant, self.caller
+            self.relay.open, fakes.make_call(), grant, self.caller
         )
 
     def wait(self) -> result.Result:
         return self._pending.result(20)
 
     def finish(self) -> bytes:
-        passed = far_ends.read_all(self.wait().unwrap(), pumped=True)
+        passed = fakes.read_all(self.wait().unwrap(), pumped=True)
         self.stop()
         return passed
 
@@ -48,7 +48,7 @@
         self.second.close()
 
 
-def test_second_copy_wins_and_the_first_is_cancelled() -> None:
+def test_copy_wins_and_the_original_is_cancelled() -> None:
     race = Race()
     assert race.first.answered.wait(20)
     assert race.second.answered.wait(20)
@@ -63,9 +63,9 @@
     assert ends == [("a0", "cancelled", 0), ("a1", "finished", 3)]
 
 
-# Guards against a cancel for what never reached an endpoint: a second copy that
-# wins before the first is sent interrupts it, and nothing runs there.
-def test_a_first_copy_that_was_never_sent_is_not_cancelled(monkeypatch) -> None:
+# Guards against cancelling an attempt that never reached its endpoint: a copy
+# that wins before the original is sent interrupts it, so nothing runs there.
+def test_original_that_was_never_sent_is_not_cancelled(monkeypatch) -> None:
     connect = engine.Exchange._connect
     interrupt = engine.Exchange.interrupt
     interrupted = threading.Event()
@@ -77,12 +77,12 @@
             assert interrupted.wait(20)
         return connect(exchange, streamed, timeout_s)
 
-    def note_interrupt(exchange):
+    def record_interrupt(exchange):
         interrupt(exchange)
         interrupted.set()
 
     monkeypatch.setattr(engine.Exchange, "_connect", connect_late)
-    monkeypatch.setattr(engine.Exchange, "interrupt", note_interrupt)
+    monkeypatch.setattr(engine.Exchange, "interrupt", record_interrupt)
     race = Race()
     begun.set()
     assert race.second.answered.wait(20)
@@ -96,7 +96,7 @@
     assert ends == [("a0", "never_sent", 0), ("a1", "finished", 3)]
 
 
-def test_first_copy_wins_and_the_second_is_cancelled() -> None:
+def test_original_wins_and_the_copy_is_cancelled() -> None:
     race = Race()
     assert race.second.answered.wait(20)
     race.first.stop()
@@ -106,14 +106,14 @@
     assert sorted(race.slots.list_ends())[0] == ("a0", "finished", 3)
 
 
-def test_no_second_copy_before_its_time() -> None:
+def test_no_copy_before_the_hedge_delay() -> None:
     race = Race(after_s=LATER)
     race.first.stop()
     assert race.finish() == WHOLE
     assert race.slots.asked == []
 
 
-def test_second_copy_without_a_slot_leaves_the_first_alone() -> None:
+def test_copy_without_a_slot_leaves_the_original_alone() -> None:
     race = Race(slots=0)
     assert race.slots.waiting.wait(20)
     race.first.stop()
@@ -121,10 +121,10 @@
     assert race.slots.list_ends() == [("a0", "finished", 3)]
 
 
-def test_first_copy_that_breaks_waits_for_the_second() -> None:
+def test_broken_original_waits_for_the_copy() -> None:
     race = Race()
     assert race.second.answered.wait(20)
-    race.first.last_words = b""
+    race.first.held_bytes = b""
     race.first.stop()
     race.second.stop()
     assert race.finish() == WHOLE
@@ -133,12 +133,12 @@
 
 
 @pytest.mark.parametrize("both", [True, False], ids=["both", "first_only"])
-def test_caller_that_leaves_cancels_every_copy(both: bool) -> None:
+def test_disconnect_cancels_original_and_copy(both: bool) -> None:
     race = Race(after_s=0.0 if both else LATER)
     assert race.first.answered.wait(20)
     if both:
         assert race.second.answered.wait(20)
-    race.caller.go()
+    race.caller.disconnect()
     race.wait().unwrap_err()
     race.stop()
     assert race.first.cancel_asked.is_set()
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -8,7 +8,7 @@
 
 from pollenfork import clock
 from pollenfork.answers import messages
-from pollenfork.answers.tests import far_ends
+from pollenfork.answers.tests import fakes
 from pollenfork.standin.engine import config as engine_config
 from pollenfork.standin.engine import front
 
@@ -36,7 +36,7 @@
     body = {**BODY, "prompt": "Review the PPA."}
     if path == "/v1/completions":
         del body["messages"]
-    call = far_ends.make_call()
+    call = fakes.make_call()
     return msgspec.structs.replace(
         call, path=path, body=json.dumps(body).encode(), give_up_at=1e9
     )
@@ -68,15 +68,15 @@
         when=when, after_tokens=after, resumable=resumable, times=1
     )
     engines[1].set_faults(engine_config.Faults(crash=crash))
-    slots = far_ends.FakeSlots([addresses[2]])
-    relay = far_ends.make_relay(slots)
+    slots = fakes.FakeSlots([addresses[2]])
+    relay = fakes.make_relay(slots)
     call = make_call(path)
     answers = [
-        relay.open(call, far_ends.make_grant(address, f"attempt-{n}"))
+        relay.open(call, fakes.make_grant(address, f"attempt-{n}"))
         for n, address in enumerate(addresses[:2])
     ]
     expected, passed = (
-        far_ends.read_all(answer.unwrap(), pumped=True) for answer in answers
+        fakes.read_all(answer.unwrap(), pumped=True) for answer in answers
     )
     relay.stop()
 
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -39,7 +39,7 @@
     for number in (1, 2):
         relayed.count(relayed.cancels, "caller_gone")
         relayed.count(relayed.resumes, "closed")
-        relayed.add_answer(finished=True, tokens=20, repeats=3)
+        relayed.add_answer(finished=True, tokens=20, duplicates=3)
         scheduling.counters.refusals = {"queue_full": 5 * number}
         scheduling.counters.attempts = 7 * number
         served.full += 1
