--- a/pollenfork/answers/tests/fakes.py
+++ b/pollenfork/answers/tests/fakes.py
@@ -61,7 +61,7 @@
         self.bodies: list[dict] = []
         self.held_bytes = b""  # Sent on `stop` by an engine that holds.
         self.answered = threading.Event()
-        self.cancel_asked = threading.Event()
+        self.cancel_received = threading.Event()
         self._holds = holds
         self._released = threading.Event()
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -108,7 +108,7 @@
 
     def _choose(self, path: str, body: bytes) -> bytes:
         if path == "/v1/cancel":
-            self.cancel_asked.set()
+            self.cancel_received.set()
             reply = json.dumps({"outcome": self.cancelled}).encode()
             return encode_response("200 OK", reply)
         if path.startswith("/v1/streams/"):
@@ -124,27 +124,29 @@
     def __init__(self, addresses: list[str], *, decides: bool = True) -> None:
         self._addresses = addresses
         self._decides = decides
-        self.asked: list[dispatch_messages.AskAgain] = []
+        self.retry_requests: list[dispatch_messages.AskAgain] = []
         self.events: list[object] = []
         self.pending: list[concurrent.futures.Future] = []
-        self.waiting = threading.Event()
+        self.retry_requested = threading.Event()
 
     def ask_again(
         self, again: dispatch_messages.AskAgain
     ) -> concurrent.futures.Future:
-        self.asked.append(again)
+        self.retry_requests.append(again)
         pending: concurrent.futures.Future = concurrent.futures.Future()
         self.pending.append(pending)
         if self._decides:
             pending.set_result(self.decide())
-        self.waiting.set()
+        self.retry_requested.set()
         return pending
 
     def decide(
         self,
     ) -> dispatch_messages.Grant | admission_messages.Refused:
         if self._addresses:
-            return make_grant(self._addresses.pop(0), f"a{len(self.asked)}")
+            return make_grant(
+                self._addresses.pop(0), f"a{len(self.retry_requests)}"
+            )
         return admission_messages.Refused(
             request="r", reason=admission_messages.RefusalReason.NO_ENDPOINT
         )
@@ -216,10 +218,10 @@
 
 
 def read_all(answer: session.Answer, pumped: bool) -> bytes:
-    passed: list[bytes] = []
+    received: list[bytes] = []
     if pumped:
-        answer.chunks.attach(passed.append)
+        answer.chunks.attach(received.append)
     for chunk in answer.chunks:
-        passed.append(chunk)
+        received.append(chunk)
     answer.chunks.close()
-    return b"".join(passed)
+    return b"".join(received)
--- a/pollenfork/answers/tests/test_callers.py
+++ b/pollenfork/answers/tests/test_callers.py
@@ -141,7 +141,7 @@
     relay = fakes.make_relay(slots)
     caller = fakes.FakeCaller()
     pending = open_in_background(relay, engine, caller)
-    assert slots.waiting.wait(5)
+    assert slots.retry_requested.wait(5)
     caller.disconnect()
     pending.result(5).unwrap_err()
     # A grant that arrives too late is released, or its slot would leak.
--- a/pollenfork/answers/tests/test_events.py
+++ b/pollenfork/answers/tests/test_events.py
@@ -20,7 +20,7 @@
 
 @strategies.composite
 def draw_connections(draw) -> list[tuple[int, int, list[int]]]:
-    """Draws repeats, bytes until the cut and read sizes for each connection."""
+    """Draws repeats, bytes until the break and read sizes per connection."""
     connections = []
     for _ in range(draw(strategies.integers(1, 6))):
         repeats = draw(strategies.integers(0, 3))
@@ -49,7 +49,7 @@
         give_up_at=1.0,
         limits=messages.Limits(),
     )
-    passed = b""
+    accepted = b""
     action: core.Action = core.Restart(RetryReason.NEVER_SENT)
     for repeats, until, sizes in connections:
         start = reader.position
@@ -57,14 +57,14 @@
             start = max(0, start - repeats)
         data = fakes.encode_events(start, TOKENS) + fakes.DONE
         for read in split(data[:until], sizes):
-            passed += reader.feed(read)
+            accepted += reader.feed(read)
             assert reader.fault is None
-        passed += reader.end()
-        assert WHOLE.startswith(passed)
+        accepted += reader.end()
+        assert WHOLE.startswith(accepted)
         if reader.done:
             break
         progress = core.Progress(
-            relayed=bool(passed),
+            relayed=bool(accepted),
             position=reader.position,
             numbered=reader.numbered,
             text_available=True,
@@ -73,14 +73,14 @@
         if isinstance(action, core.GiveUp):
             break
         if isinstance(action, core.Restart):
-            assert not passed
+            assert not accepted
             reader = events.EventReader(LIMIT)
         else:
             assert action.position == reader.position
             resumed = isinstance(action, core.Resume)
             reader.reconnect(resumed=resumed)
-    assert reader.done == (passed == WHOLE)
-    assert reader.events == passed.count(b"\n\n") - reader.done
+    assert reader.done == (accepted == WHOLE)
+    assert reader.events == accepted.count(b"\n\n") - reader.done
 
 
 EVENT = fakes.encode_event
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "passed", "fault"),
+    ("data", "accepted", "fault"),
     [
         (EVENT(1), b"", Cause.GAP),
         (EVENT(0) + EVENT(2), EVENT(0), Cause.GAP),
@@ -103,10 +103,10 @@
     ],
 )
 def test_feed_returns_only_expected_events(
-    data: bytes, passed: bytes, fault: errors.Cause | None
+    data: bytes, accepted: bytes, fault: errors.Cause | None
 ) -> None:
     reader = events.EventReader(LIMIT)
-    assert reader.feed(data) == passed
+    assert reader.feed(data) == accepted
     assert reader.fault is fault
 
 
--- a/pollenfork/answers/tests/test_faults.py
+++ b/pollenfork/answers/tests/test_faults.py
@@ -31,8 +31,8 @@
     first: tuple[bytes, ...]
     resumes: tuple[bytes, ...] = ()
     second: tuple[bytes, ...] = ()
-    whole: bool = True
-    passed: bytes = WHOLE
+    complete: bool = True
+    received: bytes = WHOLE
     resumed: int = 0
     retried: int = 0
     continued: int = 0
@@ -81,7 +81,7 @@
     ),
     "repeats_of_usage_after_resume": Case(
         (HEAD + EVENTS(0, 5) + USAGE,), (HEAD + USAGE + fakes.DONE,),
-        resumed=1, passed=EVENTS(0, 5) + USAGE + fakes.DONE,
+        resumed=1, received=EVENTS(0, 5) + USAGE + fakes.DONE,
     ),
     "gap_resumed": Case(
         (HEAD + EVENTS(0, 2) + EVENTS(3, 5) + fakes.DONE,),
@@ -110,24 +110,24 @@
     ),
     "other_engine_begins_again": Case(
         (HEAD + EVENTS(0, 3),), (), (HEAD + WHOLE,),
-        whole=False, passed=EVENTS(0, 3), resumed=1, continued=1,
+        complete=False, received=EVENTS(0, 3), resumed=1, continued=1,
         ends=(("a0", "broken_midway", 3), ("a1", "broken_before_first", 0)),
     ),
     "no_other_engine": Case(
         (HEAD + EVENTS(0, 3),), (UNKNOWN_STREAM,),
-        whole=False, passed=EVENTS(0, 3), resumed=1, ends=BROKEN,
+        complete=False, received=EVENTS(0, 3), resumed=1, ends=BROKEN,
     ),
     "not_idempotent_never_continued": Case(
         (HEAD + EVENTS(0, 3),), (UNKNOWN_STREAM,), (HEAD + EVENTS(3, 5),),
-        whole=False, passed=EVENTS(0, 3), resumed=1, idempotent=False,
+        complete=False, received=EVENTS(0, 3), resumed=1, idempotent=False,
         ends=BROKEN,
     ),
     "unnumbered_whole": Case(
-        (HEAD + UNNUMBERED + fakes.DONE,), passed=UNNUMBERED + fakes.DONE
+        (HEAD + UNNUMBERED + fakes.DONE,), received=UNNUMBERED + fakes.DONE
     ),
     "unnumbered_cut": Case(
         (HEAD + UNNUMBERED,), (), (HEAD + UNNUMBERED + fakes.DONE,),
-        whole=False, passed=UNNUMBERED, ends=(("a0", "broken_midway", 5),),
+        complete=False, received=UNNUMBERED, ends=(("a0", "broken_midway", 5),),
     ),
     "refused_before_run": Case(
         (REFUSAL,), (), (HEAD + WHOLE,), retried=1,
@@ -152,29 +152,29 @@
     call = fakes.make_call(idempotent=case.idempotent)
 
     opened = relay.open(call, fakes.make_grant(first.address))
-    passed = fakes.read_all(opened.unwrap(), pumped)
+    received = fakes.read_all(opened.unwrap(), pumped)
     relay.stop()
 
-    if case.whole:
-        assert passed == case.passed
+    if case.complete:
+        assert received == case.received
     else:
-        assert passed.startswith(case.passed)
-        rest = passed[len(case.passed) :]
+        assert received.startswith(case.received)
+        rest = received[len(case.received) :]
         error = json.loads(rest.removeprefix(b"data: "))["error"]
         assert (error["code"], error["outcome"]) == ("answer_broken", "unknown")
-    counted = relay.counters
-    assert counted.resumes.total() == case.resumed
-    assert counted.retries.total() == case.retried
-    assert counted.continuations.total() == case.continued
-    assert counted.tokens_saved == case.saved
-    assert counted.duplicates_dropped == case.repeats
-    assert counted.finished == case.whole
-    assert counted.broken.total() == (not case.whole)
+    counters = relay.counters
+    assert counters.resumes.total() == case.resumed
+    assert counters.retries.total() == case.retried
+    assert counters.continuations.total() == case.continued
+    assert counters.tokens_saved == case.saved
+    assert counters.duplicates_dropped == case.repeats
+    assert counters.finished == case.complete
+    assert counters.broken.total() == (not case.complete)
     assert sorted(slots.list_ends()) == sorted(case.ends)
     if case.saved:
         text = "".join(f"t{n} " for n in range(case.saved))
-        asked = second.bodies[0]["continue_from"]
-        assert asked == {"text": text, "tokens": case.saved}
+        continuation = second.bodies[0]["continue_from"]
+        assert continuation == {"text": text, "tokens": case.saved}
 
 
 NOT_RUN = failures.Outcome.NOT_RUN
--- a/pollenfork/answers/tests/test_hedges.py
+++ b/pollenfork/answers/tests/test_hedges.py
@@ -38,9 +38,9 @@
         return self._pending.result(20)
 
     def finish(self) -> bytes:
-        passed = fakes.read_all(self.wait().unwrap(), pumped=True)
+        received = fakes.read_all(self.wait().unwrap(), pumped=True)
         self.stop()
-        return passed
+        return received
 
     def stop(self) -> None:
         self.relay.stop()
@@ -54,7 +54,7 @@
     assert race.second.answered.wait(20)
     race.second.stop()
     race.wait()
-    assert race.first.cancel_asked.wait(20)
+    assert race.first.cancel_received.wait(20)
     assert race.finish() == WHOLE
     assert race.relay.counters.hedges == {"won": 1}
     assert race.relay.counters.cancels == {"hedge_lost": 1}
@@ -101,7 +101,7 @@
     assert race.second.answered.wait(20)
     race.first.stop()
     race.wait()
-    assert race.second.cancel_asked.wait(20)
+    assert race.second.cancel_received.wait(20)
     assert race.finish() == WHOLE
     assert sorted(race.slots.list_ends())[0] == ("a0", "finished", 3)
 
@@ -110,12 +110,12 @@
     race = Race(after_s=LATER)
     race.first.stop()
     assert race.finish() == WHOLE
-    assert race.slots.asked == []
+    assert race.slots.retry_requests == []
 
 
 def test_copy_without_a_slot_leaves_the_original_alone() -> None:
     race = Race(slots=0)
-    assert race.slots.waiting.wait(20)
+    assert race.slots.retry_requested.wait(20)
     race.first.stop()
     assert race.finish() == WHOLE
     assert race.slots.list_ends() == [("a0", "finished", 3)]
@@ -141,8 +141,8 @@
     race.caller.disconnect()
     race.wait().unwrap_err()
     race.stop()
-    assert race.first.cancel_asked.is_set()
-    assert race.second.cancel_asked.is_set() == both
+    assert race.first.cancel_received.is_set()
+    assert race.second.cancel_received.is_set() == both
     ends = [end[:2] for end in race.slots.list_ends()]
     copies = ["a0", "a1"] if both else ["a0"]
     assert sorted(ends) == [(copy, "cancelled") for copy in copies]
--- a/pollenfork/logbook/tests/test_causes.py
+++ b/pollenfork/logbook/tests/test_causes.py
@@ -137,7 +137,7 @@
 
 
 def test_instance_state_is_the_latest_of_the_same_process() -> None:
-    found = collect(
+    trace = collect(
         "configuration_in_force version=1",
         "started instance=i-1",
         "configuration_in_force version=2",
@@ -146,21 +146,21 @@
         CHOSEN,
         "readiness state=stopping",
     )
-    assert [(line.event, line.fields) for line in found.beliefs] == [
+    assert [(line.event, line.fields) for line in trace.beliefs] == [
         ("configuration_in_force", {"version": "3"}),
         ("store_lost", {"table": "x"}),
     ]
 
 
 def test_lines_of_other_instances_are_ordered_by_time() -> None:
-    found = collect(
+    trace = collect(
         write(61.5, "runner_shunned runner=r request=z", "i-2"),
         write(60.0, CHOSEN),
         write(62.0, GIVEN_UP),
     )
-    assert [line.instance for line in found.others] == ["i-2"]
+    assert [line.instance for line in trace.others] == ["i-2"]
     out = io.StringIO()
-    trace_report.write(found, out)
+    trace_report.write(trace, out)
     written = out.getvalue().splitlines()
     assert written[0] == "request q"
     assert "      +1500 ms  i-2  runner_shunned  runner=r request=z" in written
@@ -168,13 +168,13 @@
 
 
 def test_events_of_other_instances_about_the_runner_are_included() -> None:
-    found = collect(
+    trace = collect(
         write(60.0, CHOSEN),
         write(60.5, "runner_found runner=r sign=refused age_ms=60", "i-2"),
         write(60.6, "runner_found runner=other sign=refused age_ms=60", "i-2"),
         write(62.0, GIVEN_UP),
     )
-    assert [line.fields["runner"] for line in found.runners] == ["r"]
+    assert [line.fields["runner"] for line in trace.runners] == ["r"]
 
 
 def test_quarantined_request_is_explained_with_its_crashes() -> None:
--- a/pollenfork/logbook/tests/test_losses.py
+++ b/pollenfork/logbook/tests/test_losses.py
@@ -77,22 +77,22 @@
     ],
 )
 def test_outcome_is_counted_under_its_cause(texts, outcome, cause) -> None:
-    found = count(*texts)
-    assert found.routes == {"r": {outcome: 1}}
-    assert found.causes == {("r", outcome, cause): 1}
+    counts = count(*texts)
+    assert counts.routes == {"r": {outcome: 1}}
+    assert counts.causes == {("r", outcome, cause): 1}
 
 
 def test_request_refused_before_routing_is_counted() -> None:
-    found = count("refused request=q reason=no_route")
-    assert found.causes == {("", Outcome.REFUSED, "no_route"): 1}
+    counts = count("refused request=q reason=no_route")
+    assert counts.causes == {("", Outcome.REFUSED, "no_route"): 1}
 
 
 def test_report_shows_shares_causes_and_intervals() -> None:
     in_time = ANSWERED.format(200, 9, 0)
     late = in_time.replace("request=q", "request=p").replace("=9", "=900")
-    found = count(in_time, "store_lost table=t", "reload taken=-", late)
+    counts = count(in_time, "store_lost table=t", "reload taken=-", late)
     out = io.StringIO()
-    losses_report.write(found, out)
+    losses_report.write(counts, out)
     written = out.getvalue()
     assert "r                       1        1        0" in written
     assert "1  r  late: unknown" in written
