--- a/pollenfork/answers/attempt.py
+++ b/pollenfork/answers/attempt.py
@@ -60,7 +60,7 @@
             limits=deps.limits,
         )
         self._start_position = 0
-        self._saved_tokens = 0  # Added to the counters once the answer ends.
+        self._saved_tokens = 0  # Counted only if the answer completes.
         self._disconnected = threading.Event()
         self._hedge_copy: AttemptSequence | None = None
         self.response_start: engine.ResponseStart | None = None
--- a/pollenfork/answers/messages.py
+++ b/pollenfork/answers/messages.py
@@ -50,9 +50,9 @@
         attempts: Attempts of one request before its first byte.
         resumes: Consecutive resumes without a new event.
         continuations: Continuations of one answer.
-        max_buffer: Size of one answer's compressed buffer.
-        max_event: Size of an event.
-        max_body: Size of an answer that isn't streamed.
+        max_buffer: Maximum size of one answer's compressed buffer.
+        max_event: Maximum size of an event.
+        max_body: Maximum size of an answer that isn't streamed.
     """
 
     connect_s: float = 1.0
