--- a/pollenfork/answers/edges.py
+++ b/pollenfork/answers/edges.py
@@ -1,4 +1,4 @@
-"""What the relay needs of its surroundings."""
+"""Interfaces that the relay depends on."""
 
 from collections.abc import Callable
 import concurrent.futures
@@ -11,38 +11,38 @@
 
 
 class Slots(Protocol):
-    """Where attempts are granted and their course is reported."""
+    """Grants attempts and receives reports about them."""
 
     def ask_again(
         self, again: dispatch_messages.AskAgain
     ) -> concurrent.futures.Future[Decision]:
-        """Asks for another endpoint for an admitted request."""
+        """Requests another endpoint for an admitted request."""
 
     def report(self, event: Any) -> None:
-        """Tells of the attempt's course; returns at once."""
+        """Reports an event of an attempt; doesn't block."""
 
 
 class Caller(Protocol):
     """The caller's connection."""
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the caller's connection has ended."""
 
-    def when_gone(self, call: Callable[[], None]) -> None:
-        """Calls `call` once, from any thread, when the caller goes."""
+    def on_disconnect(self, call: Callable[[], None]) -> None:
+        """Calls `call` once, from any thread, when the caller disconnects."""
 
     def count_unsent(self) -> int:
-        """Returns bytes that the caller's connection hasn't taken yet."""
+        """Returns the number of bytes not yet written to the connection."""
 
 
 class PresentCaller:
-    """A caller of whom nothing is known: taken to stay."""
+    """A caller without a known connection; it never disconnects."""
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns False."""
         return False
 
-    def when_gone(self, call: Callable[[], None]) -> None:
+    def on_disconnect(self, call: Callable[[], None]) -> None:
         """Ignores the call."""
 
     def count_unsent(self) -> int:
--- a/pollenfork/answers/tests/far_ends.py
+++ b/pollenfork/answers/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Far ends of the relay: an engine that follows a script, and slots."""
+"""Fakes of what the relay talks to: a scripted engine, slots and a caller."""
 
 import concurrent.futures
 import contextlib
@@ -14,30 +14,30 @@
 
 STREAM_HEAD = b"HTTP/1.0 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 DONE = b"data: [DONE]\n\n"
-LOST = b""  # The connection ends before the head.
+NO_RESPONSE = b""  # Closes the connection before the head.
 UNKNOWN_STREAM = (
     b"HTTP/1.0 404 Not Found\r\nContent-Type: application/json\r\n\r\n"
     b'{"error":{"code":"unknown_stream"}}'
 )
 LIMITS = messages.Limits(
-    connect_s=2, head_s=5, stall_s=5, again_s=5, cancel_s=2
+    connect_s=2, head_s=5, stall_s=5, retry_wait_s=5, cancel_s=2
 )
 
 
-def write_event(position: int) -> bytes:
+def encode_event(position: int) -> bytes:
     data = {"choices": [{"index": 0, "delta": {"content": f"t{position} "}}]}
     return b"id: %d\ndata: %b\n\n" % (position, json.dumps(data).encode())
 
 
-def write_events(start: int, end: int) -> bytes:
-    return b"".join(write_event(n) for n in range(start, end))
+def encode_events(start: int, end: int) -> bytes:
+    return b"".join(encode_event(n) for n in range(start, end))
 
 
-def write_whole(tokens: int) -> bytes:
-    return write_events(0, tokens) + DONE
+def encode_stream(tokens: int) -> bytes:
+    return encode_events(0, tokens) + DONE
 
 
-def write_reply(status: str, body: bytes, **headers: str) -> bytes:
+def encode_response(status: str, body: bytes, **headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status}", "Content-Type: application/json"]
     headers = {"Content_Length": str(len(body)), **headers}
     lines += [f"{n.replace('_', '-')}: {v}" for n, v in headers.items()]
@@ -59,9 +59,9 @@
         self.cancelled = cancelled
         self.calls: list[str] = []
         self.bodies: list[dict] = []
-        self.last_words = b""  # Sent by `stop`, where the engine holds.
+        self.held_bytes = b""  # Sent on `stop` by an engine that holds.
         self.answered = threading.Event()
-        self.cancel_asked = threading.Event()
+        self.cancel_received = threading.Event()
         self._holds = holds
         self._released = threading.Event()
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -89,7 +89,7 @@
         with connection, connection.makefile("rb") as lines:
             first = lines.readline().decode()
             if not first:
-                return  # Interrupted before anything was sent.
+                return  # The relay was interrupted before it sent anything.
             method, path, _ = first.split(" ")
             length = 0
             while (line := lines.readline()) not in (b"\r\n", b""):
@@ -103,14 +103,14 @@
             if self._holds and "/cancel" not in path:
                 self.answered.set()
                 self._released.wait(10)
-                with contextlib.suppress(OSError):  # The relay may be gone.
-                    connection.sendall(self.last_words)
+                with contextlib.suppress(OSError):  # The relay may have closed.
+                    connection.sendall(self.held_bytes)
 
     def _choose(self, path: str, body: bytes) -> bytes:
         if path == "/v1/cancel":
-            self.cancel_asked.set()
-            said = json.dumps({"outcome": self.cancelled}).encode()
-            return write_reply("200 OK", said)
+            self.cancel_received.set()
+            reply = json.dumps({"outcome": self.cancelled}).encode()
+            return encode_response("200 OK", reply)
         if path.startswith("/v1/streams/"):
             return self.resumes.pop(0) if self.resumes else UNKNOWN_STREAM
         if body.startswith(b"{"):
@@ -124,27 +124,29 @@
     def __init__(self, addresses: list[str], *, decides: bool = True) -> None:
         self._addresses = addresses
         self._decides = decides
-        self.asked: list[dispatch_messages.AskAgain] = []
+        self.retry_requests: list[dispatch_messages.AskAgain] = []
         self.events: list[object] = []
         self.pending: list[concurrent.futures.Future] = []
-        self.waiting = threading.Event()
+        self.retry_requested = threading.Event()
 
     def ask_again(
         self, again: dispatch_messages.AskAgain
     ) -> concurrent.futures.Future:
-        self.asked.append(again)
+        self.retry_requests.append(again)
         pending: concurrent.futures.Future = concurrent.futures.Future()
         self.pending.append(pending)
         if self._decides:
             pending.set_result(self.decide())
-        self.waiting.set()
+        self.retry_requested.set()
         return pending
 
     def decide(
         self,
     ) -> dispatch_messages.Grant | admission_messages.Refused:
         if self._addresses:
-            return make_grant(self._addresses.pop(0), f"a{len(self.asked)}")
+            return make_grant(
+                self._addresses.pop(0), f"a{len(self.retry_requests)}"
+            )
         return admission_messages.Refused(
             request="r", reason=admission_messages.RefusalReason.NO_ENDPOINT
         )
@@ -160,25 +162,25 @@
         ]
 
 
-class Caller:
-    """A caller whose connection the test ends."""
+class FakeCaller:
+    """A caller that the test disconnects."""
 
     def __init__(self, engine: ScriptedEngine | None = None) -> None:
         self.engine = engine
-        self.gone = False
+        self.disconnected = False
         self._calls: list = []
 
-    def is_gone(self) -> bool:
-        return self.gone
+    def is_disconnected(self) -> bool:
+        return self.disconnected
 
-    def when_gone(self, call) -> None:
+    def on_disconnect(self, call) -> None:
         self._calls.append(call)
 
     def count_unsent(self) -> int:
         return 0
 
-    def go(self) -> None:
-        self.gone = True
+    def disconnect(self) -> None:
+        self.disconnected = True
         for call in self._calls:
             call()
 
@@ -216,10 +218,10 @@
 
 
 def read_all(answer: session.Answer, pumped: bool) -> bytes:
-    passed: list[bytes] = []
+    received: list[bytes] = []
     if pumped:
-        answer.chunks.attach(passed.append)
+        answer.chunks.attach(received.append)
     for chunk in answer.chunks:
-        passed.append(chunk)
+        received.append(chunk)
     answer.chunks.close()
-    return b"".join(passed)
+    return b"".join(received)
