--- a/pollenfork/platform/tests/test_entries.py
+++ b/pollenfork/platform/tests/test_entries.py
@@ -29,7 +29,7 @@
 
 
 def read(value: bytes, key: str = "i-7"):
-    return PLATFORM.read_runner(messages.Row(key, value, 1))
+    return PLATFORM.decode_runner(messages.Row(key, value, 1))
 
 
 def find_fault(entry: object, key: str = "i-7") -> Fault | None:
@@ -172,7 +172,7 @@
     named = [
         row.key
         for row in read_rows
-        if isinstance(PLATFORM.read_runner(row), result.Ok)
+        if isinstance(PLATFORM.decode_runner(row), result.Ok)
     ]
     assert named == ["a", "d"]
     assert [row.version for row in read_rows] == [3, 4, 5, 6]
