--- a/pollenfork/gateway/attempt.py
+++ b/pollenfork/gateway/attempt.py
@@ -55,7 +55,7 @@
         return self.end is End.BROKEN and self.failure in losses
 
     @property
-    def sign(self) -> loads.Symptom | None:
+    def symptom(self) -> loads.Symptom | None:
         """What it shows about the runner's address, for all instances."""
         if self.end is End.DISPLACED:
             return loads.Symptom.DISPLACED
--- a/pollenfork/gateway/crash_probes.py
+++ b/pollenfork/gateway/crash_probes.py
@@ -49,7 +49,7 @@
         connections: pool.Pool,
         found: evidence.Evidence,
         suspected: quarantine.Quarantine,
-        find_standing: Callable[[ids.EndpointId], runner_state.RunnerState],
+        get_state: Callable[[ids.EndpointId], runner_state.RunnerState],
     ) -> None:
         """Creates an instance without probes.
 
@@ -57,9 +57,9 @@
             connections: Opens connections and pools them.
             found: Receives the addresses that refuse connections.
             suspected: Receives the runners that drop a connection at once.
-            find_standing: Returns the local health record of a runner.
+            get_state: Returns this instance's state of a runner.
         """
-        self._find_standing = find_standing
+        self._get_state = get_state
         self._pool = connections
         self._evidence = found
         self._quarantine = suspected
@@ -113,7 +113,7 @@
             started.connected.set_result(None)
             await asyncio.sleep(DROP_WINDOW_S)
             if opened.ok_value.usable:
-                self._find_standing(runner.id).reached_at = reached_at
+                self._get_state(runner.id).reached_at = reached_at
                 self._pool.release(runner, opened.ok_value)
             else:
                 # Later than all connections that broke there meanwhile.
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -106,8 +106,8 @@
 class Cloud(Protocol):
     """Encodes calls to the platform, which one instance at a time makes."""
 
-    def write(self, task: duties.PlatformCall) -> bytes:
+    def encode(self, task: duties.PlatformCall) -> bytes:
         """Returns the request that reports usage or orders runners."""
 
-    def read(self, status: int) -> duties.Reply:
+    def decode(self, status: int) -> duties.Reply:
         """Decodes the status of a response."""
--- a/pollenfork/gateway/exchange.py
+++ b/pollenfork/gateway/exchange.py
@@ -273,7 +273,7 @@
         admitted = self._admitted
         self._selection.tried.add(grant.runner.id)
         self._history.record(ended)
-        self._update_standing(grant, ended)
+        self._update_state(grant, ended)
         decision = retries.decide(
             ended,
             admitted.route,
@@ -285,19 +285,19 @@
             self._log.log_failed_attempt(grant, ended, decision, self._history)
         return decision
 
-    def _update_standing(
+    def _update_state(
         self, grant: outcomes.Grant, ended: attempt.AttemptResult
     ) -> None:
-        """Updates the runner's standing."""
-        seen = grant.state
-        failures = seen.failures
+        """Updates the state of the runner."""
+        state = grant.state
+        failures = state.failures
         now = self._deps.loop.time()
-        seen.record_end(ended.end, retries.is_error(ended), now)
-        self._log.log_standing_change(grant, ended, failures)
-        if ended.sign is not None:
-            self._deps.evidence.record(grant.runner, ended.sign)
-        if not seen.reachable:
-            self._deps.prober.watch(grant.runner, seen)
+        state.record_end(ended.end, retries.is_error(ended), now)
+        self._log.log_state_change(grant, ended, failures)
+        if ended.symptom is not None:
+            self._deps.evidence.record(grant.runner, ended.symptom)
+        if not state.reachable:
+            self._deps.prober.watch(grant.runner, state)
 
     def _take_retry(self) -> bool:
         now = self._deps.loop.time()
--- a/pollenfork/gateway/quarantine_check.py
+++ b/pollenfork/gateway/quarantine_check.py
@@ -75,17 +75,17 @@
             possible: Number of runners that the request may have crashed.
             waited_s: Seconds for which crash probes were awaited.
         """
-        case = self._deps.request_quarantine.tracker.find(self._digest)
-        ends = case.crashes if case is not None else []
+        history = self._deps.request_quarantine.tracker.find(self._digest)
+        recorded = history.crashes if history is not None else []
         now = self._deps.loop.time()
         _LOG.info(
             "event=request_judged digest=%016x verdict=%s ends=%d possible=%d "
             "last_ms=%s waited_ms=%d",
             self._digest,
             verdict.value,
-            len(ends),
+            len(recorded),
             possible,
-            int((now - ends[-1].crashed_at) * 1000) if ends else "-",
+            int((now - recorded[-1].crashed_at) * 1000) if recorded else "-",
             waited_s * 1000,
         )
 
--- a/pollenfork/gateway/request_log.py
+++ b/pollenfork/gateway/request_log.py
@@ -108,28 +108,28 @@
             decision.value,
         )
 
-    def log_standing_change(
+    def log_state_change(
         self, grant: outcomes.Grant, ended: attempt.AttemptResult, failures: int
     ) -> None:
         """Logs a change in the number of a runner's consecutive failures.
 
         Args:
-            grant: The runner, with its current standing.
+            grant: The runner, with its current state.
             ended: The result of the last attempt.
             failures: Its consecutive failures before that attempt.
         """
-        seen = grant.state
-        if seen.failures > failures:
+        state = grant.state
+        if state.failures > failures:
             _LOG.warning(
                 "event=runner_shunned runner=%s request=%s end=%s failures=%d "
                 "pause_ms=%d",
                 grant.runner.id,
                 self._request,
                 ended.end.value,
-                seen.failures,
-                (seen.avoid_until - self._loop.time()) * 1000,
+                state.failures,
+                (state.avoid_until - self._loop.time()) * 1000,
             )
-        elif seen.failures < failures:
+        elif state.failures < failures:
             _LOG.info(
                 "event=runner_trusted runner=%s request=%s failures=%d",
                 grant.runner.id,
--- a/pollenfork/gateway/tests/test_duty_agent.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -71,10 +71,10 @@
 class Cloud:
     """Passes the platform's calls through without encoding."""
 
-    def write(self, task):
+    def encode(self, task):
         return task
 
-    def read(self, status):
+    def decode(self, status):
         return messages.Reply.DONE
 
 
