--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -95,7 +95,7 @@
         return proof is not None and proof.runners == _REMOVED_AT
 
     @property
-    def takers(self) -> list[str]:
+    def usable_runners(self) -> list[str]:
         return test_cluster_state.list_runners(self.known)
 
     def receive_proof(self, news: int, age_s: float = 0.1) -> None:
@@ -117,7 +117,7 @@
     instance = Instance(standin, await standin.start())
     tasks = instance.sources.start()
     try:
-        await instance.run_until(lambda: instance.takers == [_RUNNER])
+        await instance.run_until(lambda: instance.usable_runners == [_RUNNER])
         yield instance
     finally:
         for task in tasks:
@@ -154,7 +154,7 @@
     async def scenario():
         async with start_instance() as instance:
             await lose_the_store_alone(instance)
-            assert instance.takers == []
+            assert instance.usable_runners == []
 
     asyncio.run(scenario())
 
@@ -170,6 +170,6 @@
                     lambda: reporter.knows_of_the_removal,
                     lambda: reporter.receive_proof(_REMOVED_AT),
                 )
-            assert reporter.takers == []
+            assert reporter.usable_runners == []
 
     asyncio.run(scenario())
