--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -150,12 +150,14 @@
 def _make_guarded() -> _Bench:
     now = clock.ManualClock()
     platform = fake.FakePlatform(now, core.Platform(_CONFIG))
-    tools = policy.Tools(now=now, rng=random.Random(1), wait=now.advance)
+    tools = policy.Dependencies(now=now, rng=random.Random(1), wait=now.advance)
     wide = budget.Budget(0.0, budget.Rates(reads=1e9, writes=1e9))
     return _Bench(
-        policy.GuardedTable(platform.table, policy.Guard("table", tools, wide)),
-        policy.GuardedObjects(
-            platform.objects, policy.Guard("objects", tools, wide)
+        policy.ResilientTable(
+            platform.table, policy.CallPolicy("table", tools, wide)
+        ),
+        policy.ResilientObjects(
+            platform.objects, policy.CallPolicy("objects", tools, wide)
         ),
         platform.state,
         now,
--- a/benchmarks/settings_threads.py
+++ b/benchmarks/settings_threads.py
@@ -46,7 +46,7 @@
             objects=client.HttpObjects(channel),
             instances=client.HttpInstances(channel),
             weights=client.HttpWeights(channel),
-            tools=policy.Tools(now=now, rng=rng, wait=time.sleep),
+            deps=policy.Dependencies(now=now, rng=rng, wait=time.sleep),
         )
         self.name = f"entry-{number}"
         self.timers = timers.Timers(now)
--- a/pollenfork/ledger/tests/test_faults.py
+++ b/pollenfork/ledger/tests/test_faults.py
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(("step", "fault"), [row[:2] for row in LOSSES])
 def test_the_policy_hides_one_failure(world, step, fault):
     first = world.start("entry-1")
-    tools = policy.Tools(
+    tools = policy.Dependencies(
         now=world.clock, rng=random.Random(5), wait=world.clock.advance
     )
     wire = [
@@ -130,8 +130,10 @@
         harness.Wire(first, first.platform.objects),
     ]
     first.ledger = first.make_ledger(
-        policy.GuardedTable(wire[0], policy.Guard("table", tools, None)),
-        policy.GuardedObjects(wire[1], policy.Guard("objects", tools, None)),
+        policy.ResilientTable(wire[0], policy.CallPolicy("table", tools, None)),
+        policy.ResilientObjects(
+            wire[1], policy.CallPolicy("objects", tools, None)
+        ),
     )
     script(first, step, fault)
     assert harness.name_verdict(first.submit(KEY)) == "DONE"
--- a/pollenfork/store/__init__.py
+++ b/pollenfork/store/__init__.py
@@ -1,1 +1,1 @@
-"""Edges to the platform: table, objects, instance list, weights."""
+"""Clients of the platform: table, objects, instance list, weights."""
--- a/pollenfork/store/client.py
+++ b/pollenfork/store/client.py
@@ -1,7 +1,7 @@
-"""The platform's services over HTTP; see `docs/platform-protocol.md`.
+"""HTTP clients of the platform's services.
 
-One call is one HTTP request: retries, breakers and budgets are in
-`platform.policy`. All classes may be shared by threads.
+See `docs/platform-protocol.md`. Each call is one HTTP request; retries, circuit
+breakers and budgets are in `store.policy`. All classes are thread-safe.
 """
 
 from collections.abc import Mapping
@@ -52,12 +52,12 @@
 
 
 class Channel:
-    """Pooled connections to the platform's address, with time limits.
+    """A pool of HTTP connections to the platform, with timeouts.
 
     Args:
         address: `host:port`.
-        connect_timeout_s: For the connection.
-        read_timeout_s: For each read of the answer.
+        connect_timeout_s: Timeout for connecting.
+        read_timeout_s: Timeout for each read of the response.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> result.Result[_Reply, errors.PlatformFailure]:
-        """Returns the answer to one request, or why there is none."""
+        """Sends one request; returns the response or the failure."""
         try:
             response = self._pool.request(
                 method, path, body=body, headers=headers, redirect=False
@@ -97,11 +97,11 @@
         except (urllib3.exceptions.HTTPError, OSError) as error:
             return result.Err(errors.Unanswered(detail=str(error)))
         reply = _Reply(response.status, response.headers, response.data)
-        failure = _find_failure(reply)
+        failure = _get_failure(reply)
         return result.Err(failure) if failure else result.Ok(reply)
 
     def close(self) -> None:
-        """Closes the idle connections."""
+        """Closes all idle connections."""
         self._pool.close()
 
 
@@ -114,30 +114,32 @@
     def read(
         self, key: str
     ) -> result.Result[edges.Row | None, errors.PlatformFailure]:
-        """Returns the row at `key`, or None where there is none."""
-        answer = self._channel.send("GET", _make_path("/table/rows", key))
-        return answer.and_then(lambda reply: _decode_found(reply, edges.Row))
+        """Returns the row at `key`, or None if there is none."""
+        response = self._channel.send("GET", _make_path("/table/rows", key))
+        return response.and_then(
+            lambda reply: _decode_optional(reply, edges.Row)
+        )
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[tuple[edges.Row, ...], errors.PlatformFailure]:
-        """Returns rows whose key starts with `prefix`, past `after`."""
+        """Returns rows whose key starts with `prefix` and follows `after`."""
         query = urllib.parse.urlencode(
             {"prefix": prefix, "after": after, "limit": limit}
         )
-        answer = self._channel.send("GET", f"/table/rows?{query}")
-        decoded = answer.and_then(lambda reply: _decode(reply, _Rows))
+        response = self._channel.send("GET", f"/table/rows?{query}")
+        decoded = response.and_then(lambda reply: _decode(reply, _Rows))
         return decoded.map(lambda page: page.rows)
 
     def commit(
         self, transaction: edges.Transaction
     ) -> result.Result[edges.Committed, errors.PlatformFailure]:
-        """Applies the transaction; `Conflicted` where a condition fails."""
+        """Applies the transaction; `Conflicted` if a condition fails."""
         body = msgspec.json.encode(transaction)
-        answer = self._channel.send(
+        response = self._channel.send(
             "POST", "/table/transactions", body=body, headers=_JSON
         )
-        return answer.and_then(lambda reply: _decode(reply, edges.Committed))
+        return response.and_then(lambda reply: _decode(reply, edges.Committed))
 
 
 class HttpObjects:
@@ -149,24 +151,24 @@
     def fetch(
         self, key: str
     ) -> result.Result[bytes | None, errors.PlatformFailure]:
-        """Returns the object's bytes, or None where there is none."""
-        answer = self._channel.send("GET", _make_path("/objects", key))
-        return answer.map(
+        """Returns the object's bytes, or None if there is none."""
+        response = self._channel.send("GET", _make_path("/objects", key))
+        return response.map(
             lambda reply: None if reply.status == 404 else reply.body
         )
 
     def store(
         self, key: str, body: bytes
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Writes the object whole, replacing an older one."""
+        """Writes the whole object, replacing an existing one."""
         path = _make_path("/objects", key)
-        answer = self._channel.send("PUT", path, body=body, headers=_BYTES)
-        return answer.and_then(_expect_done)
+        response = self._channel.send("PUT", path, body=body, headers=_BYTES)
+        return response.and_then(_expect_success)
 
     def remove(self, key: str) -> result.Result[None, errors.PlatformFailure]:
-        """Deletes the object; an absent one is no failure."""
-        answer = self._channel.send("DELETE", _make_path("/objects", key))
-        return answer.map(lambda _: None)
+        """Deletes the object; does nothing if it doesn't exist."""
+        response = self._channel.send("DELETE", _make_path("/objects", key))
+        return response.map(lambda _: None)
 
 
 class HttpInstances:
@@ -180,9 +182,9 @@
     ) -> result.Result[
         tuple[edges.ListedInstance, ...], errors.PlatformFailure
     ]:
-        """Returns the list as the platform has it now."""
-        answer = self._channel.send("GET", "/instances")
-        decoded = answer.and_then(lambda reply: _decode(reply, _Instances))
+        """Returns the platform's current list."""
+        response = self._channel.send("GET", "/instances")
+        decoded = response.and_then(lambda reply: _decode(reply, _Instances))
         return decoded.map(lambda page: page.instances)
 
 
@@ -195,19 +197,19 @@
     def request_read(
         self, model: ids.ModelName, version: str
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Takes a permit to load the weights; `Throttled` when over rate."""
+        """Requests a permit to load weights; `Throttled` if over the limit."""
         body = msgspec.json.encode(_Permit(model, version))
-        answer = self._channel.send(
+        response = self._channel.send(
             "POST", "/weights/permits", body=body, headers=_JSON
         )
-        return answer.and_then(_expect_done)
+        return response.and_then(_expect_success)
 
 
 def _make_path(root: str, key: str) -> str:
     return f"{root}/{urllib.parse.quote(key, safe='/')}"
 
 
-def _find_failure(reply: _Reply) -> errors.PlatformFailure | None:
+def _get_failure(reply: _Reply) -> errors.PlatformFailure | None:
     if 200 <= reply.status < 300 or reply.status == 404:
         return None
     detail = f"the platform answered {reply.status}"
@@ -237,7 +239,7 @@
     return max(0.0, wait_s)
 
 
-def _expect_done(
+def _expect_success(
     reply: _Reply,
 ) -> result.Result[None, errors.PlatformFailure]:
     if reply.status == 404:
@@ -245,19 +247,19 @@
     return result.Ok(None)
 
 
-def _decode_found(
-    reply: _Reply, kind: type[_T]
+def _decode_optional(
+    reply: _Reply, reply_type: type[_T]
 ) -> result.Result[_T | None, errors.PlatformFailure]:
     if reply.status == 404:
         return result.Ok(None)
-    return _decode(reply, kind)
+    return _decode(reply, reply_type)
 
 
 def _decode(
-    reply: _Reply, kind: type[_T]
+    reply: _Reply, reply_type: type[_T]
 ) -> result.Result[_T, errors.PlatformFailure]:
     try:
-        return result.Ok(msgspec.json.decode(reply.body, type=kind))
+        return result.Ok(msgspec.json.decode(reply.body, type=reply_type))
     except msgspec.MsgspecError as error:
         detail = f"{reply.status} with an unreadable body: {error}"
         return result.Err(errors.Unanswered(detail=detail))
--- a/pollenfork/store/connection.py
+++ b/pollenfork/store/connection.py
@@ -1,4 +1,4 @@
-"""The platform's services of one instance: adapters with their guards."""
+"""Builds the platform clients of an instance, with their call policies."""
 
 from collections.abc import Callable
 import enum
@@ -16,20 +16,20 @@
     rng: random.Random,
     count: Callable[[enum.Enum], None],
 ) -> policy.Platform:
-    """Returns the services at an address; nothing is sent yet.
+    """Returns the platform's services at `address`; sends nothing.
 
     Args:
         address: `host:port`.
         now: The clock.
-        rng: Spreads the retries.
+        rng: For the jitter between retries.
         count: Called with each `policy.CallEvent`.
     """
     channel = client.Channel(address)
-    tools = policy.Tools(now=now, rng=rng, wait=time.sleep, count=count)
+    deps = policy.Dependencies(now=now, rng=rng, wait=time.sleep, count=count)
     return policy.Platform(
         table=client.HttpTable(channel),
         objects=client.HttpObjects(channel),
         instances=client.HttpInstances(channel),
         weights=client.HttpWeights(channel),
-        tools=tools,
+        deps=deps,
     )
--- a/pollenfork/store/edges.py
+++ b/pollenfork/store/edges.py
@@ -1,7 +1,7 @@
-"""The platform's services as the rest of the program sees them.
+"""Interfaces of the platform's services.
 
-Each is met by one adapter and, in tests, by one fake. No policy lives here:
-retries, breakers and budgets are in `platform.policy`.
+Each has one HTTP client and, for tests, one fake. Retries, circuit breakers and
+budgets are in `store.policy`.
 """
 
 import enum
@@ -13,7 +13,7 @@
 from pollenfork import ids
 from pollenfork.store import errors
 
-ANY_VERSION = -1  # The write has no condition on the row's version.
+ANY_VERSION = -1  # The write doesn't depend on the row's version.
 ABSENT = 0  # The row must not exist yet; versions of rows start at 1.
 
 
@@ -21,9 +21,10 @@
     """One row of the table.
 
     Attributes:
-        key: Path-like name, such as `settings/teams/linework`.
-        value: Opaque bytes in a format that its slice keeps readable.
-        version: Starts at 1 and grows with each write of the row.
+        key: A path, such as `settings/teams/linework`.
+        value: Opaque bytes; the package that writes the row also defines and
+            decodes its format.
+        version: Starts at 1 and increases with each write of the row.
     """
 
     key: str
@@ -32,7 +33,7 @@
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Writes `value` at `key` if the row is at `expected` version."""
+    """Writes `value` at `key` if the row has version `expected`."""
 
     key: str
     value: bytes
@@ -40,17 +41,17 @@
 
 
 class Delete(msgspec.Struct, frozen=True):
-    """Deletes the row at `key` if it is at `expected` version."""
+    """Deletes the row at `key` if it has version `expected`."""
 
     key: str
     expected: int = ANY_VERSION
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together or not at all.
+    """Writes that are applied atomically.
 
-    A service that has seen `write_id` before answers as it did then, without
-    a second effect, for at least ten minutes.
+    For at least ten minutes, the service answers a repeated `write_id` with the
+    original response and doesn't apply the writes again.
     """
 
     write_id: ids.WriteId
@@ -59,7 +60,7 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The versions of the rows put, in the order of the transaction."""
+    """Versions of the rows in `Transaction.puts`, in the same order."""
 
     versions: tuple[int, ...]
 
@@ -70,17 +71,20 @@
     def read(
         self, key: str
     ) -> result.Result[Row | None, errors.PlatformFailure]:
-        """Returns the row at `key`, or None where there is none."""
+        """Returns the row at `key`, or None if there is none."""
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[tuple[Row, ...], errors.PlatformFailure]:
-        """Returns rows whose key starts with `prefix`, past `after`, sorted."""
+        """Returns rows with keys that start with `prefix` and follow `after`.
+
+        The rows are sorted by key.
+        """
 
     def commit(
         self, transaction: Transaction
     ) -> result.Result[Committed, errors.PlatformFailure]:
-        """Applies the transaction; `Conflicted` where a condition fails."""
+        """Applies the transaction; `Conflicted` if a condition fails."""
 
 
 class ObjectStore(Protocol):
@@ -89,36 +93,36 @@
     def fetch(
         self, key: str
     ) -> result.Result[bytes | None, errors.PlatformFailure]:
-        """Returns the object's bytes, or None where there is none."""
+        """Returns the object's bytes, or None if there is none."""
 
     def store(
         self, key: str, body: bytes
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Writes the object whole, replacing an older one."""
+        """Writes the whole object, replacing an existing one."""
 
     def remove(self, key: str) -> result.Result[None, errors.PlatformFailure]:
-        """Deletes the object; an absent one is no failure."""
+        """Deletes the object; does nothing if it doesn't exist."""
 
 
 class InstanceRole(enum.Enum):
-    """What an instance in the platform's list is for."""
+    """The role of an instance in the platform's list."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
 
 
 class InstanceStatus(enum.Enum):
-    """What the platform's list says of an instance, with a lag."""
+    """Status of an instance in the platform's list, which may be outdated."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """One instance in the platform's list.
+    """An instance in the platform's list.
 
     Attributes:
-        name: An `InstanceId` for entries, an `EndpointId` for endpoints.
+        name: An `InstanceId` for an entry, an `EndpointId` for an endpoint.
         address: `host:port`; for an entry instance, its peer address.
     """
 
@@ -130,12 +134,12 @@
 
 
 class InstanceList(Protocol):
-    """The platform's list of live and leaving instances, which lags."""
+    """The platform's list of live and leaving instances; may be outdated."""
 
     def fetch(
         self,
     ) -> result.Result[tuple[ListedInstance, ...], errors.PlatformFailure]:
-        """Returns the list as the platform has it now."""
+        """Returns the platform's current list."""
 
 
 class WeightStore(Protocol):
@@ -144,4 +148,4 @@
     def request_read(
         self, model: ids.ModelName, version: str
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Takes a permit to load the weights; `Throttled` when over rate."""
+        """Requests a permit to load weights; `Throttled` if over the limit."""
--- a/pollenfork/store/errors.py
+++ b/pollenfork/store/errors.py
@@ -1,22 +1,22 @@
-"""Failures at the platform's edge."""
+"""Failures of calls to the platform."""
 
 from pollenfork import failures
 
 
 class PlatformFailure(failures.Failure, frozen=True, kw_only=True):
-    """Base of the failures that the platform's services cause."""
+    """Base class of the failures of calls to the platform."""
 
 
 class Unavailable(PlatformFailure, frozen=True, kw_only=True):
-    """The call was refused or never sent: it had no effect."""
+    """The call was refused or never sent; it had no effect."""
 
 
 class Unanswered(PlatformFailure, frozen=True, kw_only=True):
-    """The call was sent and its answer was lost: it may have had effect."""
+    """The call was sent but got no valid response; its effect is unknown."""
 
 
 class Throttled(PlatformFailure, frozen=True, kw_only=True):
-    """The service refused for rate; it had no effect.
+    """The call exceeded a rate limit and was refused; it had no effect.
 
     Attributes:
         retry_after_s: Seconds to wait before the next call.
@@ -26,10 +26,10 @@
 
 
 class Conflicted(PlatformFailure, frozen=True, kw_only=True):
-    """A condition of the transaction did not hold; nothing was written.
+    """A condition of the transaction failed; nothing was written.
 
     Attributes:
-        keys: The keys whose condition failed.
+        keys: Keys of the rows whose condition failed.
     """
 
     keys: tuple[str, ...] = ()
--- a/pollenfork/store/policy.py
+++ b/pollenfork/store/policy.py
@@ -1,7 +1,7 @@
-"""Retries, circuit breakers and budgets around the platform's services.
+"""Retries, circuit breakers and budgets for calls to the platform.
 
-The wrappers implement the Protocols of `platform.edges`; a caller doesn't
-see whether it holds an adapter or a wrapper.
+The wrappers implement the Protocols of `store.edges`, so that callers use them
+like the plain clients.
 """
 
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 class CallEvent(enum.Enum):
-    """What the policy did; each has its counter."""
+    """What a call policy did; each event has a counter."""
 
     RETRY_UNAVAILABLE = "retry_unavailable"
     RETRY_UNANSWERED = "retry_unanswered"
@@ -41,27 +41,28 @@
 
 
 class BreakerOpen(errors.Unavailable, frozen=True, kw_only=True):
-    """The service failed too often lately; nothing was sent."""
+    """The circuit breaker is open; the call wasn't sent."""
 
 
 class RetryLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """How often and how long one call is tried.
+    """Limits on the attempts of one call.
 
     Attributes:
-        attempts: The first one included.
-        call_s: No attempt starts later than this after the first; far less
-            than the ten minutes for which the table knows a write id.
+        attempts: Maximum number of attempts, including the first.
+        call_s: No attempt starts later than this after the first. It must
+            stay well below the ten minutes for which the table remembers a
+            write id.
     """
 
     attempts: int = 4
     call_s: float = 5.0
 
 
-class Tools(msgspec.Struct, frozen=True, kw_only=True):
-    """What the wrappers are handed instead of time and chance.
+class Dependencies(msgspec.Struct, frozen=True, kw_only=True):
+    """Clock, random generator and callbacks of the call policies.
 
     Attributes:
-        wait: Blocks for so many seconds.
+        wait: Blocks for the given number of seconds.
         count: Called with each `CallEvent`.
     """
 
@@ -71,91 +72,91 @@
     count: Callable[[enum.Enum], None] = lambda event: None
 
 
-class Guard:
-    """Runs the calls to one service; shared by threads.
+class CallPolicy:
+    """Runs the calls to one service with retries and a breaker; thread-safe.
 
     Args:
-        name: Of the service, for the log.
-        tools: Clock, random generator, `wait` and `count`.
-        share: The instance's budget; None for a service without one.
-        limits: Of the retries.
+        name: Name of the service, for failure details.
+        deps: Clock, random generator, `wait` and `count`.
+        call_budget: The instance's budget; None if calls aren't limited.
+        limits: Limits on retries.
     """
 
     def __init__(
         self,
         name: str,
-        tools: Tools,
-        share: budget.Budget | None,
+        deps: Dependencies,
+        call_budget: budget.Budget | None,
         limits: RetryLimits | None = None,
     ) -> None:
         self._name = name
-        self._tools = tools
-        self._share = share
+        self._deps = deps
+        self._budget = call_budget
         self._limits = limits or RetryLimits()
-        self._breaker = breaker.Breaker(tools.rng)
-        self._backoff = breaker.Backoff(tools.rng)
+        self._breaker = breaker.CircuitBreaker(deps.rng)
+        self._backoff = breaker.Backoff(deps.rng)
 
     def run(
         self, kind: budget.CallKind, call: _Call[_T]
     ) -> result.Result[_T, errors.PlatformFailure]:
-        """Returns the answer of `call`, which must be safe to repeat.
+        """Returns the result of `call`, which must be safe to repeat.
 
-        Once an attempt is `Unanswered` it may have had effect, and no later
-        refusal proves otherwise: the call stays `Unanswered` unless a later
-        attempt is answered.
+        An `Unanswered` attempt may have had an effect, and a later refusal
+        doesn't disprove that. The result is then `Unanswered` unless a later
+        attempt gets a response.
         """
-        started = self._tools.now.monotonic()
-        doubt: errors.PlatformFailure | None = None
+        started = self._deps.now.monotonic()
+        unanswered: errors.PlatformFailure | None = None
         retry = 0
         while True:
-            answer = self._attempt(kind, call)
-            if _is_answered(answer):
-                return answer
-            failure = answer.unwrap_err()
+            outcome = self._attempt(kind, call)
+            if _has_response(outcome):
+                return outcome
+            failure = outcome.unwrap_err()
             if isinstance(failure, errors.Unanswered):
-                doubt = failure
+                unanswered = failure
             delay_s = self._choose_delay(failure, retry, started)
             if delay_s is None:
-                return result.Err(doubt or failure)
-            self._tools.count(_RETRY_EVENTS[type(failure)])
-            self._tools.wait(delay_s)
+                return result.Err(unanswered or failure)
+            self._deps.count(_RETRY_EVENTS[type(failure)])
+            self._deps.wait(delay_s)
             retry += 1
 
     def _attempt(
         self, kind: budget.CallKind, call: _Call[_T]
     ) -> result.Result[_T, errors.PlatformFailure]:
-        if self._breaker.is_blocked(self._tools.now.monotonic()):
-            return result.Err(self._refuse())
-        refusal = self._spend(kind)
+        if self._breaker.is_blocked(self._deps.now.monotonic()):
+            return result.Err(self._make_breaker_failure())
+        refusal = self._take_token(kind)
         if refusal:
             return result.Err(refusal)
-        era = self._breaker.admit(self._tools.now.monotonic())
-        if era is None:  # Another thread became the probe meanwhile.
-            return result.Err(self._refuse())
+        generation = self._breaker.admit(self._deps.now.monotonic())
+        if generation is None:  # Another thread has just started the probe.
+            return result.Err(self._make_breaker_failure())
         succeeded = False
         try:
-            answer = call()
-            succeeded = answer.is_ok() or not isinstance(
-                answer.unwrap_err(), errors.Unavailable | errors.Unanswered
+            outcome = call()
+            succeeded = outcome.is_ok() or not isinstance(
+                outcome.unwrap_err(), errors.Unavailable | errors.Unanswered
             )
-            return answer
+            return outcome
         finally:
-            now = self._tools.now.monotonic()
-            self._breaker.record(era, succeeded, now)
+            now = self._deps.now.monotonic()
+            self._breaker.record(generation, succeeded, now)
 
-    def _refuse(self) -> BreakerOpen:
-        self._tools.count(CallEvent.REFUSED_BREAKER_OPEN)
+    def _make_breaker_failure(self) -> BreakerOpen:
+        self._deps.count(CallEvent.REFUSED_BREAKER_OPEN)
         detail = f"the platform's {self._name} failed too often lately"
         return BreakerOpen(detail=detail)
 
-    def _spend(self, kind: budget.CallKind) -> errors.Throttled | None:
-        if self._share is None:
+    def _take_token(self, kind: budget.CallKind) -> errors.Throttled | None:
+        if self._budget is None:
             return None
-        wait_s = self._share.take(kind, self._tools.now.monotonic())
+        wait_s = self._budget.take(kind, self._deps.now.monotonic())
         if wait_s == 0.0:
             return None
-        self._tools.count(CallEvent.REFUSED_OUT_OF_BUDGET)
-        detail = f"this instance's {kind.value}s are spent"
+        self._deps.count(CallEvent.REFUSED_OUT_OF_BUDGET)
+        detail = f"this instance's {kind.value} budget is exhausted"
         return errors.Throttled(detail=detail, retry_after_s=wait_s)
 
     def _choose_delay(
@@ -168,30 +169,32 @@
         delay_s = self._backoff.choose_delay(retry)
         if isinstance(failure, errors.Throttled):
             delay_s += failure.retry_after_s
-        elapsed_s = self._tools.now.monotonic() - started
+        elapsed_s = self._deps.now.monotonic() - started
         return delay_s if elapsed_s + delay_s <= self._limits.call_s else None
 
 
-class GuardedTable:
-    """`edges.TableService` with a guard; a retry keeps its write id."""
+class ResilientTable:
+    """`edges.TableService` with a call policy; retries keep the write id."""
 
-    def __init__(self, table: edges.TableService, guard: Guard) -> None:
+    def __init__(
+        self, table: edges.TableService, call_policy: CallPolicy
+    ) -> None:
         self._table = table
-        self._guard = guard
+        self._policy = call_policy
 
     def read(
         self, key: str
     ) -> result.Result[edges.Row | None, errors.PlatformFailure]:
-        """Returns the row at `key`, or None where there is none."""
-        return self._guard.run(
+        """Returns the row at `key`, or None if there is none."""
+        return self._policy.run(
             budget.CallKind.READ, lambda: self._table.read(key)
         )
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[tuple[edges.Row, ...], errors.PlatformFailure]:
-        """Returns rows whose key starts with `prefix`, past `after`."""
-        return self._guard.run(
+        """Returns rows whose key starts with `prefix` and follows `after`."""
+        return self._policy.run(
             budget.CallKind.READ,
             lambda: self._table.scan(prefix, after, limit),
         )
@@ -199,91 +202,98 @@
     def commit(
         self, transaction: edges.Transaction
     ) -> result.Result[edges.Committed, errors.PlatformFailure]:
-        """Applies the transaction; `Conflicted` where a condition fails."""
-        return self._guard.run(
+        """Applies the transaction; `Conflicted` if a condition fails."""
+        return self._policy.run(
             budget.CallKind.WRITE, lambda: self._table.commit(transaction)
         )
 
 
-class GuardedObjects:
-    """`edges.ObjectStore` with a guard."""
+class ResilientObjects:
+    """`edges.ObjectStore` with a call policy."""
 
-    def __init__(self, objects: edges.ObjectStore, guard: Guard) -> None:
+    def __init__(
+        self, objects: edges.ObjectStore, call_policy: CallPolicy
+    ) -> None:
         self._objects = objects
-        self._guard = guard
+        self._policy = call_policy
 
     def fetch(
         self, key: str
     ) -> result.Result[bytes | None, errors.PlatformFailure]:
-        """Returns the object's bytes, or None where there is none."""
-        return self._guard.run(
+        """Returns the object's bytes, or None if there is none."""
+        return self._policy.run(
             budget.CallKind.READ, lambda: self._objects.fetch(key)
         )
 
     def store(
         self, key: str, body: bytes
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Writes the object whole, replacing an older one."""
-        return self._guard.run(
+        """Writes the whole object, replacing an existing one."""
+        return self._policy.run(
             budget.CallKind.WRITE, lambda: self._objects.store(key, body)
         )
 
     def remove(self, key: str) -> result.Result[None, errors.PlatformFailure]:
-        """Deletes the object; an absent one is no failure."""
-        return self._guard.run(
+        """Deletes the object; does nothing if it doesn't exist."""
+        return self._policy.run(
             budget.CallKind.WRITE, lambda: self._objects.remove(key)
         )
 
 
-class GuardedInstances:
-    """`edges.InstanceList` with a guard."""
+class ResilientInstances:
+    """`edges.InstanceList` with a call policy."""
 
-    def __init__(self, instances: edges.InstanceList, guard: Guard) -> None:
+    def __init__(
+        self, instances: edges.InstanceList, call_policy: CallPolicy
+    ) -> None:
         self._instances = instances
-        self._guard = guard
+        self._policy = call_policy
 
     def fetch(
         self,
     ) -> result.Result[
         tuple[edges.ListedInstance, ...], errors.PlatformFailure
     ]:
-        """Returns the list as the platform has it now."""
-        return self._guard.run(budget.CallKind.READ, self._instances.fetch)
+        """Returns the platform's current list."""
+        return self._policy.run(budget.CallKind.READ, self._instances.fetch)
 
 
-class GuardedWeights:
-    """`edges.WeightStore` with a guard that never retries.
+class ResilientWeights:
+    """`edges.WeightStore` with a call policy that never retries.
 
-    A lost answer may have used a permit up; the caller, who staggers loads,
-    decides when to ask again.
+    A request without a response may have consumed a permit. The caller, which
+    staggers loads, decides when to request another.
     """
 
-    def __init__(self, weights: edges.WeightStore, guard: Guard) -> None:
+    def __init__(
+        self, weights: edges.WeightStore, call_policy: CallPolicy
+    ) -> None:
         self._weights = weights
-        self._guard = guard
+        self._policy = call_policy
 
     def request_read(
         self, model: ids.ModelName, version: str
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Takes a permit to load the weights; `Throttled` when over rate."""
-        return self._guard.run(
+        """Requests a permit to load weights; `Throttled` if over the limit."""
+        return self._policy.run(
             budget.CallKind.READ,
             lambda: self._weights.request_read(model, version),
         )
 
 
 class Platform:
-    """The platform's services as an instance uses them.
+    """The platform's services with the call policies of one instance.
 
-    Each service has its own breaker.
+    Each service has its own circuit breaker.
 
     Attributes:
-        budget: In two parts; `keyed_table` and `keyed_objects` use the one,
-            the table, objects and instance list the other.
-        keyed_table: The table for the records of requests with a key.
-        keyed_objects: The object store for their answers.
-        polled_table: The table for callers that poll: their next poll is the
-            retry, and they have other things to do meanwhile.
+        budget: Two budgets: one for `keyed_table` and `keyed_objects`, the
+            other for all other tables, objects and the instance list.
+        keyed_table: The table for records of requests with an idempotency key.
+        keyed_objects: The object store for the responses to such requests.
+        polled_table: The table for callers that poll. It never retries: the
+            next poll is the retry, and a wait would block the caller's other
+            work.
     """
 
     def __init__(
@@ -293,29 +303,35 @@
         objects: edges.ObjectStore,
         instances: edges.InstanceList,
         weights: edges.WeightStore,
-        tools: Tools,
+        deps: Dependencies,
     ) -> None:
-        self.budget = budget.Budgets(tools.now.monotonic())
-        share, keyed = self.budget.control, self.budget.keyed
-        once = RetryLimits(attempts=1)
-        self.table = GuardedTable(table, Guard("table", tools, share))
-        self.polled_table = GuardedTable(
-            table, Guard("polled table", tools, share, once)
+        self.budget = budget.Budgets(deps.now.monotonic())
+        control, keyed = self.budget.control, self.budget.keyed
+        single_attempt = RetryLimits(attempts=1)
+        self.table = ResilientTable(table, CallPolicy("table", deps, control))
+        self.polled_table = ResilientTable(
+            table, CallPolicy("polled table", deps, control, single_attempt)
+        )
+        self.keyed_table = ResilientTable(
+            table, CallPolicy("table", deps, keyed)
+        )
+        self.objects = ResilientObjects(
+            objects, CallPolicy("objects", deps, control)
         )
-        self.keyed_table = GuardedTable(table, Guard("table", tools, keyed))
-        self.objects = GuardedObjects(objects, Guard("objects", tools, share))
-        self.keyed_objects = GuardedObjects(
-            objects, Guard("objects", tools, keyed)
+        self.keyed_objects = ResilientObjects(
+            objects, CallPolicy("objects", deps, keyed)
         )
-        self.instances = GuardedInstances(
-            instances, Guard("instances", tools, share)
+        self.instances = ResilientInstances(
+            instances, CallPolicy("instances", deps, control)
         )
-        self.weights = GuardedWeights(
-            weights, Guard("weights", tools, None, once)
+        self.weights = ResilientWeights(
+            weights, CallPolicy("weights", deps, None, single_attempt)
         )
 
 
-def _is_answered(
-    answer: result.Result[_T, errors.PlatformFailure],
+def _has_response(
+    outcome: result.Result[_T, errors.PlatformFailure],
 ) -> bool:
-    return answer.is_ok() or isinstance(answer.unwrap_err(), errors.Conflicted)
+    return outcome.is_ok() or isinstance(
+        outcome.unwrap_err(), errors.Conflicted
+    )
--- a/pollenfork/store/tests/test_budget.py
+++ b/pollenfork/store/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget as arithmetic: shares add up, buckets hold to their rate."""
+"""Budgets: the shares stay within the total, buckets keep to their rate."""
 
 import pytest
 
@@ -16,14 +16,14 @@
 
 
 @pytest.mark.parametrize("instances", [1, 2, 8, 24, 60, 360])
-def test_shares_add_up_to_less_than_the_platform_handles(instances):
+def test_shares_stay_below_the_platform_rates(instances):
     share = budget.compute_share(instances)
     assert share.reads * instances <= 2000 * (1 - budget.HEADROOM) + 1e-6
     assert share.writes * instances <= 300 * (1 - budget.HEADROOM) + 1e-6
 
 
-def spend(take, start, seconds, step=0.01):
-    """Takes as often as it may; returns how often."""
+def take_all(take, start, seconds, step=0.01):
+    """Takes as many tokens as possible; returns their number."""
     taken, now = 0, start
     while now < start + seconds:
         while take(now) == 0.0:
@@ -38,52 +38,61 @@
         budget.CallKind.READ: budget.PLATFORM_RATES.reads,
         budget.CallKind.WRITE: budget.PLATFORM_RATES.writes,
     }
-    one = budget.Budget(0.0)
-    one.set_instances(360, 0.0)
-    spend(lambda now: one.take(kind, now), 0.0, 1.0)  # The burst.
-    taken = spend(lambda now: one.take(kind, now), 1.0, 100.0)
+    instance_budget = budget.Budget(0.0)
+    instance_budget.set_instances(360, 0.0)
+    # Use up the burst.
+    take_all(lambda now: instance_budget.take(kind, now), 0.0, 1.0)
+    taken = take_all(lambda now: instance_budget.take(kind, now), 1.0, 100.0)
     assert 0.85 * rates[kind] <= taken * 360 / 100 <= rates[kind]
 
 
-def test_a_bucket_says_when_the_next_token_is_there():
-    bucket = budget.Bucket(0.5, now=0.0)
+def test_an_empty_bucket_returns_the_wait_for_the_next_token():
+    bucket = budget.TokenBucket(0.5, now=0.0)
     assert [bucket.take(0.0) for _ in range(5)] == [0, 0, 0, 0, 2.0]
     assert bucket.take(1.0) == pytest.approx(1.0)
     assert bucket.take(2.0) == 0.0
 
 
-def test_time_going_back_gives_no_tokens():
-    bucket = budget.Bucket(1.0, now=100.0)
+def test_a_clock_that_goes_back_adds_no_tokens():
+    bucket = budget.TokenBucket(1.0, now=100.0)
     assert [bucket.take(100.0) for _ in range(4)] == [0] * 4
     assert bucket.take(0.0) > 0
     assert bucket.take(100.0) > 0
 
 
-def test_fewer_instances_leave_each_a_larger_share():
-    one = budget.Budget(0.0)
-    one.set_instances(8, 0.0)
-    spend(lambda now: one.take(budget.CallKind.WRITE, now), 0.0, 1.0)
-    taken = spend(lambda now: one.take(budget.CallKind.WRITE, now), 1.0, 10.0)
+def test_fewer_instances_get_larger_shares():
+    instance_budget = budget.Budget(0.0)
+    instance_budget.set_instances(8, 0.0)
+    take_all(
+        lambda now: instance_budget.take(budget.CallKind.WRITE, now), 0.0, 1.0
+    )
+    taken = take_all(
+        lambda now: instance_budget.take(budget.CallKind.WRITE, now), 1.0, 10.0
+    )
     assert taken == pytest.approx(337, abs=2)
 
 
-def test_keyed_requests_leave_the_rest_to_settings_and_leases():
-    both = budget.Budgets(0.0)
-    both.set_instances(360, 0.0)
-    assert both.keyed.share.writes == pytest.approx(0.525)
-    assert both.control.share.writes == pytest.approx(0.225)
-    assert both.keyed.share.reads == pytest.approx(1.0)
-    assert both.control.share.reads == pytest.approx(4.0)
+def test_keyed_requests_do_not_use_the_budget_of_settings_and_leases():
+    budgets = budget.Budgets(0.0)
+    budgets.set_instances(360, 0.0)
+    assert budgets.keyed.share.writes == pytest.approx(0.525)
+    assert budgets.control.share.writes == pytest.approx(0.225)
+    assert budgets.keyed.share.reads == pytest.approx(1.0)
+    assert budgets.control.share.reads == pytest.approx(4.0)
     kind = budget.CallKind.WRITE
-    spend(lambda now: both.keyed.take(kind, now), 0.0, 1.0)
-    assert both.keyed.take(kind, 1.0) > 0.0
-    assert both.control.take(kind, 1.0) == 0.0
+    take_all(lambda now: budgets.keyed.take(kind, now), 0.0, 1.0)
+    assert budgets.keyed.take(kind, 1.0) > 0.0
+    assert budgets.control.take(kind, 1.0) == 0.0
 
 
 def test_an_unknown_number_of_instances_falls_back_to_the_design_size():
-    one = budget.Budget(0.0)
-    one.set_instances(1, 0.0)
-    one.set_instances(0, 0.0)
-    spend(lambda now: one.take(budget.CallKind.WRITE, now), 0.0, 1.0)
-    taken = spend(lambda now: one.take(budget.CallKind.WRITE, now), 1.0, 100.0)
+    instance_budget = budget.Budget(0.0)
+    instance_budget.set_instances(1, 0.0)
+    instance_budget.set_instances(0, 0.0)
+    take_all(
+        lambda now: instance_budget.take(budget.CallKind.WRITE, now), 0.0, 1.0
+    )
+    taken = take_all(
+        lambda now: instance_budget.take(budget.CallKind.WRITE, now), 1.0, 100.0
+    )
     assert taken == pytest.approx(75, abs=1)
--- a/pollenfork/store/tests/test_client.py
+++ b/pollenfork/store/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Contract of the HTTP adapters: what each answer of the platform means."""
+"""HTTP clients: requests, and the results of the platform's responses."""
 
 import http.server
 import json
@@ -16,18 +16,19 @@
 _ROW = {"key": "ledger/a b", "value": "AAH/", "version": 3}
 
 
-class Script(http.server.ThreadingHTTPServer):
-    """Answers every request alike and keeps what it was asked."""
+class ScriptedServer(http.server.ThreadingHTTPServer):
+    """Sends every request the same response and records the requests."""
 
     daemon_threads = True
 
     def __init__(self):
         super().__init__(("127.0.0.1", 0), _Handler)
         self.status, self.headers, self.body = 200, {}, b"{}"
-        self.cut = None  # Bytes of the answer sent before the cut.
-        self.silent = threading.Event()
-        self.heard = threading.Event()
-        self.asked = []
+        # Bytes of the response sent before the connection closes.
+        self.truncate_at = None
+        self.stalled = threading.Event()
+        self.received = threading.Event()
+        self.requests = []
 
     @property
     def address(self):
@@ -40,16 +41,16 @@
     def _answer(self):
         script = self.server
         length = int(self.headers.get("Content-Length") or 0)
-        asked = (self.command, self.path, self.rfile.read(length))
-        script.asked.append(asked)
-        script.heard.set()
-        if script.silent.is_set():
-            self.rfile.read(1)  # Until the client gives up.
+        request = (self.command, self.path, self.rfile.read(length))
+        script.requests.append(request)
+        script.received.set()
+        if script.stalled.is_set():
+            self.rfile.read(1)  # Blocks until the client closes the connection.
             self.close_connection = True
             return
-        if script.cut is not None:
+        if script.truncate_at is not None:
             head = b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"
-            self.wfile.write(head[: script.cut])
+            self.wfile.write(head[: script.truncate_at])
             self.close_connection = True
             return
         self.send_response(script.status)
@@ -67,7 +68,7 @@
 
 @pytest.fixture
 def script():
-    server = Script()
+    server = ScriptedServer()
     thread = threading.Thread(target=server.serve_forever, args=(0.01,))
     thread.start()
     yield server
@@ -78,9 +79,9 @@
 
 @pytest.fixture
 def channel(script):
-    made = client.Channel(script.address)
-    yield made
-    made.close()
+    opened = client.Channel(script.address)
+    yield opened
+    opened.close()
 
 
 _TRANSACTION = edges.Transaction(
@@ -105,7 +106,7 @@
     "address": "127.0.0.1:1",
     "status": "leaving",
 }
-ANSWERED = [
+RESPONSES = [
     ("read", 200, _ROW, edges.Row("ledger/a b", b"\x00\x01\xff", 3)),
     ("read", 404, {}, None),
     (
@@ -138,15 +139,13 @@
 ]
 
 
-@pytest.mark.parametrize(("call", "status", "body", "expected"), ANSWERED)
-def test_returns_what_the_platform_answered(
-    script, channel, call, status, body, expected
-):
+@pytest.mark.parametrize(("call", "status", "body", "expected"), RESPONSES)
+def test_a_response_is_decoded(script, channel, call, status, body, expected):
     script.status, script.body = status, json.dumps(body).encode()
     assert CALLS[call](channel) == result.Ok(expected)
 
 
-SENT = {
+REQUESTS = {
     "read": ("GET", "/table/rows/ledger/a%20b", b""),
     "scan": ("GET", "/table/rows?prefix=a%2F&after=a%2F%C3%A9&limit=7", b""),
     "commit": (
@@ -165,12 +164,12 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_sends_the_request_of_the_protocol(script, channel, call):
+def test_each_call_sends_the_request_of_the_protocol(script, channel, call):
     CALLS[call](channel)
-    assert script.asked == [SENT[call]]
+    assert script.requests == [REQUESTS[call]]
 
 
-FAILED = [
+ERROR_RESPONSES = [
     (503, {"X-Effect": "none"}, b"", errors.Unavailable),
     (503, {}, b"", errors.Unanswered),
     (500, {"X-Effect": "none"}, b"", errors.Unanswered),
@@ -182,8 +181,10 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-@pytest.mark.parametrize(("status", "headers", "body", "failure"), FAILED)
-def test_names_each_failure(
+@pytest.mark.parametrize(
+    ("status", "headers", "body", "failure"), ERROR_RESPONSES
+)
+def test_each_error_response_has_its_failure(
     script, channel, call, status, headers, body, failure
 ):
     script.status, script.headers, script.body = status, headers, body
@@ -191,20 +192,22 @@
 
 
 @pytest.mark.parametrize("call", ["commit", "store", "permit"])
-def test_an_absent_path_does_not_count_as_done(script, channel, call):
+def test_not_found_is_not_a_success(script, channel, call):
     script.status, script.body = 404, b"not found"
     failure = CALLS[call](channel).unwrap_err()
     assert type(failure) is errors.Unanswered
 
 
 @pytest.mark.parametrize("call", ["read", "scan", "commit", "list"])
-def test_an_unreadable_answer_leaves_the_effect_unknown(script, channel, call):
+def test_an_undecodable_response_leaves_the_effect_unknown(
+    script, channel, call
+):
     script.body = b'{"versions": "one"'
     failure = CALLS[call](channel).unwrap_err()
     assert type(failure) is errors.Unanswered
 
 
-def test_a_conflict_names_its_keys(script, channel):
+def test_a_conflict_lists_its_keys(script, channel):
     script.status, script.body = 409, b'{"keys": ["k"]}'
     assert CALLS["commit"](channel) == result.Err(
         errors.Conflicted(keys=("k",))
@@ -214,7 +217,7 @@
 @pytest.mark.parametrize(
     ("header", "wait_s"), [("2.5", 2.5), ("soon", 1.0), ("-3", 0.0)]
 )
-def test_over_rate_says_when_to_come_back(script, channel, header, wait_s):
+def test_throttling_has_the_time_to_wait(script, channel, header, wait_s):
     script.status, script.headers = 429, {"Retry-After": header}
     failure = CALLS["permit"](channel).unwrap_err()
     assert failure.retry_after_s == wait_s
@@ -222,26 +225,28 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-@pytest.mark.parametrize("cut", [0, 10, 40])
-def test_a_cut_answer_leaves_the_effect_unknown(script, channel, call, cut):
-    script.cut = cut
+@pytest.mark.parametrize("truncate_at", [0, 10, 40])
+def test_a_truncated_response_leaves_the_effect_unknown(
+    script, channel, call, truncate_at
+):
+    script.truncate_at = truncate_at
     failure = CALLS[call](channel).unwrap_err()
     assert type(failure) is errors.Unanswered
 
 
-def test_a_slow_answer_ends_at_the_time_limit(script):
-    script.silent.set()
+def test_a_slow_response_times_out(script):
+    script.stalled.set()
     channel = client.Channel(script.address, read_timeout_s=0.05)
     failure = CALLS["commit"](channel).unwrap_err()
     assert type(failure) is errors.Unanswered
-    # The server's thread may come to read it only after the client gave up.
-    assert script.heard.wait(10.0)
+    # The server thread may read the request only after the client timed out.
+    assert script.received.wait(10.0)
     channel.close()
-    assert len(script.asked) == 1
+    assert len(script.requests) == 1
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_a_refused_connection_proves_no_effect(call):
+def test_a_refused_connection_has_no_effect(call):
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{unused.getsockname()[1]}"
