--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -100,8 +100,8 @@
         self.clock = now
         self._numbers = itertools.count()
         self.ledger = ledger.Ledger(
-            ledger.Parts(
-                find_owner=lambda: claiming.Owner(
+            ledger.Dependencies(
+                get_owner=lambda: claiming.Owner(
                     ids.InstanceId("entry-1"), ids.Incarnation(1)
                 ),
                 table=table,
--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -203,7 +203,7 @@
     def _run_housekeeping(self) -> None:
         now = self._clock.monotonic()
         self.platform.budget.set_instances(self._count_instances(), now)
-        self._ledger.settle_deferred()
+        self._ledger.retry_deferred()
         writes_per_s = self.platform.budget.keyed.share.writes
         self._ledger.sweep(
             sweeping.compute_removals(writes_per_s, _HOUSEKEEPING_S)
@@ -282,8 +282,8 @@
 
     def _open_ledger(self) -> ledger.Ledger:
         return ledger.Ledger(
-            ledger.Parts(
-                find_owner=self._get_owner,
+            ledger.Dependencies(
+                get_owner=self._get_owner,
                 table=self.platform.keyed_table,
                 objects=self.platform.keyed_objects,
                 owners=self._presence,
--- a/pollenfork/ledger/__init__.py
+++ b/pollenfork/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency records: each keyed request runs at most once."""
+"""Idempotency records: each request with a key runs at most once."""
--- a/pollenfork/ledger/edges.py
+++ b/pollenfork/ledger/edges.py
@@ -1,20 +1,20 @@
-"""What the ledger needs to know of other instances."""
+"""Interface to the cluster membership, as the ledger uses it."""
 
 from typing import Protocol
 
 from pollenfork import ids
 
 
-class Owners(Protocol):
-    """Whether the owners of records still run."""
+class OwnerLiveness(Protocol):
+    """Tells whether the processes that own records are running."""
 
     def is_gone(
         self, instance: ids.InstanceId, incarnation: ids.Incarnation
     ) -> bool:
         """Returns whether this process is known to have ended.
 
-        True where the instance was lost or left, or a later incarnation of
-        it was seen. False where nothing is known of it: its records then
-        close by their age. A wrong True costs a caller the answer "unknown"
-        until the owner records the outcome; it never causes a second run.
+        True if the instance was lost or left, or if a later incarnation of it
+        was seen. False if the process is unknown; its records are then closed
+        by age. If True is wrong, a client may get an "unknown outcome" until
+        the owner records the outcome, but the request never runs twice.
         """
--- a/pollenfork/ledger/errors.py
+++ b/pollenfork/ledger/errors.py
@@ -1,4 +1,4 @@
-"""Why a claim is refused; each type is an HTTP answer of its own."""
+"""Reasons to refuse a claim; each type maps to one HTTP response."""
 
 from typing import ClassVar
 
@@ -7,13 +7,14 @@
 
 
 class LedgerRefusal(failures.Failure, frozen=True, kw_only=True):
-    """Base of the refusals.
+    """Base class of the refusals.
 
     Attributes:
-        STATUS: The HTTP status to answer with.
-        outcome: What is known of the request under the key. `NOT_RUN` with
-            `LedgerDown` speaks of this submission only.
-        retry_after_s: When a repeat may be answered otherwise, if ever.
+        STATUS: The HTTP status of the response.
+        outcome: Known outcome of the request under the key. For `LedgerDown`,
+            `NOT_RUN` applies to this submission only.
+        retry_after_s: Seconds until a retry may get another response; None if
+            it never will.
     """
 
     STATUS: ClassVar[int]
@@ -30,15 +31,15 @@
 
 
 class Replay(LedgerRefusal, frozen=True, kw_only=True):
-    """The request ran before: here is its answer."""
+    """The request ran before; `answer` is its stored answer."""
 
-    STATUS: ClassVar[int] = 200  # The caller gets the answer's own status.
+    STATUS: ClassVar[int] = 200  # Replaced by the status of the stored answer.
     outcome: failures.Outcome = failures.Outcome.DONE
     answer: records.Answer
 
 
 class AnswerUnavailable(LedgerRefusal, frozen=True, kw_only=True):
-    """The request ran before; its answer can't be read now."""
+    """The request ran before; its answer is temporarily unavailable."""
 
     STATUS: ClassVar[int] = 503
     outcome: failures.Outcome = failures.Outcome.DONE
@@ -46,35 +47,35 @@
 
 
 class AnswerNotKept(LedgerRefusal, frozen=True, kw_only=True):
-    """The request ran before; its answer is not kept."""
+    """The request ran before; its answer isn't stored."""
 
     STATUS: ClassVar[int] = 409
     outcome: failures.Outcome = failures.Outcome.DONE
 
 
 class UnknownOutcome(LedgerRefusal, frozen=True, kw_only=True):
-    """Whether the request under this key ran can't be known."""
+    """Whether the request under this key ran is unknown."""
 
     STATUS: ClassVar[int] = 409
     outcome: failures.Outcome = failures.Outcome.UNKNOWN
 
 
 class KeyReused(LedgerRefusal, frozen=True, kw_only=True):
-    """The key was used for another method, path or body."""
+    """The key was used with another method, path or body."""
 
     STATUS: ClassVar[int] = 422
     outcome: failures.Outcome = failures.Outcome.NOT_RUN
 
 
 class LedgerDown(LedgerRefusal, frozen=True, kw_only=True):
-    """No record could be written, so this submission was not run.
+    """No record could be written, so this submission wasn't run.
 
-    Whether an earlier submission with the key ran is not known then; the
-    caller learns it by a repeat with the same key. `outcome` is `UNKNOWN`
-    where an earlier one was seen.
+    Whether an earlier submission with the key ran is then unknown; the client
+    learns it by a retry with the same key. `outcome` is `UNKNOWN` if an earlier
+    submission was seen.
 
     Attributes:
-        in_doubt: The record may have been written after all.
+        in_doubt: The write got no response and may have succeeded.
     """
 
     STATUS: ClassVar[int] = 503
--- a/pollenfork/ledger/keys.py
+++ b/pollenfork/ledger/keys.py
@@ -1,4 +1,4 @@
-"""What identifies a request that carries an `Idempotency-Key`."""
+"""Identity of a request with an `Idempotency-Key` header."""
 
 import hashlib
 import re
@@ -18,28 +18,28 @@
 
 
 class BadKey(failures.Failure, frozen=True, kw_only=True):
-    """The `Idempotency-Key` header can't be read; `detail` says why."""
+    """The `Idempotency-Key` header is invalid; `detail` has the reason."""
 
 
 class RequestKey(msgspec.Struct, frozen=True):
-    """A key chosen by a caller, within its client account."""
+    """A key chosen by a client, unique within its account."""
 
     account: ids.AccountId
     key: str
 
     @property
     def row(self) -> str:
-        """The key of the record's row in the table."""
+        """Key of the record's row in the table."""
         return ROW_PREFIX + _digest(self.account, self.key).hexdigest()
 
 
 def read_header(
     account: ids.AccountId, header: str
 ) -> result.Result[RequestKey, BadKey]:
-    """Reads an `Idempotency-Key` header: a quoted string, or a bare one.
+    """Parses an `Idempotency-Key` header: a quoted or unquoted string.
 
-    The draft asks for a quoted string (RFC 8941); many clients leave the
-    quotes out, and both forms of the same characters are the same key.
+    The draft standard requires a quoted string (RFC 8941), but many clients
+    omit the quotes. Both forms of the same characters are the same key.
     """
     text = header.strip()
     quoted = _QUOTED.fullmatch(text)
@@ -56,14 +56,14 @@
 
 
 def compute_fingerprint(method: str, path: str, body: bytes) -> bytes:
-    """Returns 32 bytes that differ for another method, path or body."""
+    """Returns a 32-byte digest of the method, path and body."""
     digest = _digest(method, path)
     digest.update(body)
     return digest.digest()
 
 
 def make_answer_key(row: str, attempt: ids.AttemptId) -> str:
-    """Returns the key of the attempt's answer in the object store."""
+    """Returns the object store key of the attempt's answer."""
     return f"{row}/{attempt}"
 
 
--- a/pollenfork/ledger/ledger.py
+++ b/pollenfork/ledger/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of one instance: claims, their endings and the clean-up.
+"""The ledger of one instance: claims, their outcomes and the clean-up.
 
-Its calls block on the platform. Claims and endings run in the worker thread
-that holds the caller anyway; deferred endings and the clean-up run in the
-thread of `ledger.actor`.
+Its calls block on the platform. Claims and their outcomes are written in the
+worker thread that serves the client; deferred writes and the clean-up run in
+the instance's housekeeping thread.
 """
 
 from collections.abc import Callable, Iterable
@@ -36,7 +36,7 @@
 
 
 class Event(enum.Enum):
-    """What the ledger did; each has its counter."""
+    """What the ledger did; each event has a counter."""
 
     CLAIMED = "claimed"
     RECORDED = "recorded"
@@ -63,20 +63,20 @@
 }
 
 
-class Parts(msgspec.Struct, frozen=True, kw_only=True):
-    """What a ledger works with.
+class Dependencies(msgspec.Struct, frozen=True, kw_only=True):
+    """Services, callbacks and limits that a ledger uses.
 
     Attributes:
-        find_owner: Returns this process start of this instance; its
-            incarnation may grow while it runs.
-        new_id: Returns another unique string at each call.
+        get_owner: Returns this process; its incarnation may increase while it
+            runs.
+        new_id: Returns a new unique string at each call.
         count: Called with each `Event`.
     """
 
-    find_owner: Callable[[], claiming.Owner]
+    get_owner: Callable[[], claiming.Owner]
     table: platform_edges.TableService
     objects: platform_edges.ObjectStore
-    owners: edges.Owners
+    owners: edges.OwnerLiveness
     now: clock.Clock
     new_id: Callable[[], str]
     limits: claiming.Limits = claiming.Limits()
@@ -84,37 +84,42 @@
 
 
 class Claim:
-    """The right to run one request once; one thread at a time holds it.
+    """The right to run one request once; not thread-safe.
 
-    Used as a context manager it records an unknown outcome when the body
-    ends, or raises, without having recorded another. The first of the
-    `record_` calls counts, later ones change nothing.
+    As a context manager, it records an unknown outcome if the body ends or
+    raises without recording an outcome. Only the first call of a `record_`
+    method has an effect.
     """
 
     def __init__(
-        self, owner: "Ledger", row: str, held: claiming.Held, until: float
+        self,
+        ledger: "Ledger",
+        row: str,
+        claimed: claiming.ClaimedRow,
+        deadline: float,
     ) -> None:
-        self._ledger = owner
+        self._ledger = ledger
         self._row = row
-        self._held = held
-        self._until = until
+        self._claimed = claimed
+        self._deadline = deadline
         self._settlement: settling.Settlement | None = None
 
     @property
     def attempt(self) -> ids.AttemptId:
-        """The id under which the record and the answer are kept."""
-        return self._held.record.attempt
+        """The id under which the record and the answer are stored."""
+        return self._claimed.record.attempt
 
     def may_send(self) -> bool:
         """Returns whether the request may still be sent to an endpoint.
 
-        To be asked right before each sending. False once the longest run is
-        over, measured from before the claim was written: a holder that was
-        paused so long must not act on its claim any more.
+        Must be called right before each attempt. False after `longest_run_s`,
+        measured from before the claim was written: a process that was paused
+        for so long must not act on its claim, as others may have closed its
+        record.
         """
         if self._settlement is not None:
             return False
-        return self._ledger.monotonic() < self._until
+        return self._ledger.monotonic() < self._deadline
 
     def record_done(
         self,
@@ -122,9 +127,9 @@
         headers: Iterable[tuple[str, str]],
         body: bytes | None,
     ) -> settling.Settlement:
-        """Keeps the answer for repeats; to be called when it is whole.
+        """Records that the request is done, and stores its whole answer.
 
-        With None as its body the answer isn't kept, only that it was done.
+        If `body` is None, no answer is stored.
         """
         if body is None:
             return self._settle(records.State.DONE)
@@ -132,11 +137,11 @@
         return self._settle(records.State.DONE, answer)
 
     def record_not_run(self) -> settling.Settlement:
-        """Frees the key; only with proof that no attempt ran."""
+        """Frees the key; allowed only if it is certain that no attempt ran."""
         return self._settle(records.State.NOT_RUN)
 
     def record_unknown(self) -> settling.Settlement:
-        """Keeps the key closed: the request may have run."""
+        """Blocks the key, because the request may have run."""
         return self._settle(records.State.UNKNOWN)
 
     def __enter__(self) -> "Claim":
@@ -149,7 +154,7 @@
         error: BaseException | None,
         trace: types.TracebackType | None,
     ) -> None:
-        """Records an unknown outcome unless another was recorded."""
+        """Records an unknown outcome unless one was recorded."""
         if self._settlement is None:
             self.record_unknown()
 
@@ -157,22 +162,22 @@
         self, state: records.State, answer: records.Answer | None = None
     ) -> settling.Settlement:
         if self._settlement is None:
-            self._settlement = self._ledger.end(
-                self._row, self._held, state, answer
+            self._settlement = self._ledger.record_outcome(
+                self._row, self._claimed, state, answer
             )
         return self._settlement
 
 
 class Ledger:
-    """The ledger of one instance; shared by threads."""
+    """The ledger of one instance; thread-safe."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
-        self._limits = parts.limits
+    def __init__(self, deps: Dependencies) -> None:
+        self._deps = deps
+        self._limits = deps.limits
         self._outbox = outbox.Outbox()
         self._lock = threading.Lock()
-        self._live: set[ids.AttemptId] = set()
-        self._cursor = keys.ROW_PREFIX + parts.new_id()
+        self._active: set[ids.AttemptId] = set()
+        self._cursor = keys.ROW_PREFIX + deps.new_id()
 
     def claim(
         self, key: keys.RequestKey, fingerprint: bytes, now: float
@@ -180,86 +185,87 @@
         """Claims the right to run the request under `key`; blocks.
 
         Args:
-            key: The account with its key.
+            key: The account and its key.
             fingerprint: See `keys.compute_fingerprint`.
             now: Unix seconds.
 
         Returns:
-            The claim, which must be ended by one of its `record_` calls; or
-            why the request may not run, with the answer to give instead.
+            The claim, on which one `record_` method must be called; or why
+            the request may not run, which decides the response.
         """
         started = self.monotonic()
-        self._settle_waiting(key.row)
-        ask = claiming.Ask(
+        self._retry_row(key.row)
+        request = claiming.ClaimRequest(
             key=key,
             fingerprint=fingerprint,
-            attempt=ids.AttemptId(self._parts.new_id()),
-            owner=self._parts.find_owner(),
+            attempt=ids.AttemptId(self._deps.new_id()),
+            owner=self._deps.get_owner(),
             now_ms=_to_ms(now),
             limits=self._limits,
-            is_lost=self._is_lost,
+            is_owner_gone=self._is_owner_gone,
         )
         with self._lock:
-            self._live.add(ask.attempt)
-        verdict = self._run(claiming.claim(ask))
-        if isinstance(verdict, result.Err):
-            self._refuse(ask, verdict.err_value)
-            return verdict
-        self._parts.count(Event.CLAIMED)
-        until = started + self._limits.longest_run_s
-        return result.Ok(Claim(self, key.row, verdict.ok_value, until))
-
-    def end(
+            self._active.add(request.attempt)
+        claim_result = self._run(claiming.claim(request))
+        if isinstance(claim_result, result.Err):
+            self._refuse(request, claim_result.err_value)
+            return claim_result
+        self._deps.count(Event.CLAIMED)
+        deadline = started + self._limits.longest_run_s
+        return result.Ok(Claim(self, key.row, claim_result.ok_value, deadline))
+
+    def record_outcome(
         self,
         row: str,
-        held: claiming.Held,
+        claimed: claiming.ClaimedRow,
         state: records.State,
         answer: records.Answer | None,
     ) -> settling.Settlement:
-        """Writes the ending of a claim; `Claim` calls it."""
+        """Writes the outcome of a claim; for `Claim` only."""
         body = records.encode_answer(answer) if answer else b""
-        kept = 0 < len(body) <= self._limits.answer_bytes
+        fits = 0 < len(body) <= self._limits.answer_bytes
         record = msgspec.structs.replace(
-            held.record,
+            claimed.record,
             state=state,
-            changed_ms=_to_ms(self._parts.now.wall()),
-            answer_digest=records.compute_digest(body) if kept else b"",
+            changed_ms=_to_ms(self._deps.now.wall()),
+            answer_digest=records.compute_digest(body) if fits else b"",
         )
-        ending = settling.Ending(
+        write = settling.OutcomeWrite(
             row=row,
             record=record,
-            version=held.version,
-            answer=body if kept else None,
+            version=claimed.version,
+            answer=body if fits else None,
         )
-        return self._settle(ending)
+        return self._settle(write)
 
-    def settle_deferred(self) -> int:
-        """Tries all deferred endings again; returns how many are left.
+    def retry_deferred(self) -> int:
+        """Retries all deferred writes; returns how many remain.
 
-        It stops at the first that fails again: the platform is still away.
+        Stops at the first failure, as the platform is still unavailable.
         """
-        for ending in self._outbox.list_all():
-            if self._settle(ending) is settling.Settlement.DEFERRED:
+        for write in self._outbox.list_all():
+            if self._settle(write) is settling.Settlement.DEFERRED:
                 break
         return len(self._outbox)
 
-    def sweep(self, removals: int) -> sweeping.Report:
-        """Cleans the next page of records; at most `removals` leave.
+    def sweep(self, removals: int) -> sweeping.PageReport:
+        """Cleans the next page of records; removes at most `removals`.
 
-        A page has eight rows for each removal, and 200 at most: an instance
-        with a small share of the writes reads no more than it can remove.
+        A page has eight rows for each removal, and at most 200: an instance
+        with a small share of the writes reads no more rows than it needs to
+        find records to remove.
         """
         rows = ROWS_PER_REMOVAL * max(1, removals)
         report = self._run(
             sweeping.sweep(
-                sweeping.Ask(
+                sweeping.PageRequest(
                     after=self._cursor,
                     rows=min(PAGE_ROWS, rows),
                     removals=removals,
-                    write_id=ids.WriteId(self._parts.new_id()),
-                    now_ms=_to_ms(self._parts.now.wall()),
+                    write_id=ids.WriteId(self._deps.new_id()),
+                    now_ms=_to_ms(self._deps.now.wall()),
                     limits=self._limits,
-                    is_lost=self._is_lost,
+                    is_owner_gone=self._is_owner_gone,
                 )
             )
         )
@@ -267,66 +273,70 @@
         return report
 
     def monotonic(self) -> float:
-        """Returns the monotonic seconds of the ledger's clock."""
-        return self._parts.now.monotonic()
+        """Returns the monotonic time of the ledger's clock, in seconds."""
+        return self._deps.now.monotonic()
 
     def _run(self, core: steps.Steps[_T]) -> _T:
-        return steps.run(core, self._parts.table, self._parts.objects)
+        return steps.run(core, self._deps.table, self._deps.objects)
 
-    def _is_lost(self, record: records.Record) -> bool:
-        mine = self._parts.find_owner()
-        if record.owner != mine.instance:
-            return self._parts.owners.is_gone(record.owner, record.incarnation)
+    def _is_owner_gone(self, record: records.Record) -> bool:
+        current = self._deps.get_owner()
+        if record.owner != current.instance:
+            return self._deps.owners.is_gone(record.owner, record.incarnation)
         with self._lock:
-            live = record.attempt in self._live
-        return not live and record.incarnation <= mine.incarnation
+            active = record.attempt in self._active
+        return not active and record.incarnation <= current.incarnation
 
-    def _refuse(self, ask: claiming.Ask, refusal: errors.LedgerRefusal) -> None:
-        self._parts.count(_REFUSAL_EVENTS[type(refusal)])
+    def _refuse(
+        self, request: claiming.ClaimRequest, refusal: errors.LedgerRefusal
+    ) -> None:
+        self._deps.count(_REFUSAL_EVENTS[type(refusal)])
         if not isinstance(refusal, errors.LedgerDown) or not refusal.in_doubt:
-            self._forget(ask.attempt)
+            self._remove_active(request.attempt)
             return
-        # The claim's write may have had effect after all: free its key.
+        # The claim may have been written after all: free its key.
         record = msgspec.structs.replace(
-            claiming.make_record(ask), state=records.State.NOT_RUN
+            claiming.make_record(request), state=records.State.NOT_RUN
         )
         self._defer(
-            settling.Ending(row=ask.key.row, record=record, version=None)
+            settling.OutcomeWrite(
+                row=request.key.row, record=record, version=None
+            )
         )
 
-    def _settle_waiting(self, row: str) -> None:
-        for ending in self._outbox.list_all(row):
-            self._settle(ending)
+    def _retry_row(self, row: str) -> None:
+        for write in self._outbox.list_all(row):
+            self._settle(write)
 
-    def _settle(self, ending: settling.Ending) -> settling.Settlement:
-        settled = self._run(settling.settle(ending))
-        if settled.rest:
-            self._defer(settled.rest)
+    def _settle(self, write: settling.OutcomeWrite) -> settling.Settlement:
+        settle_result = self._run(settling.settle(write))
+        if settle_result.remaining:
+            self._defer(settle_result.remaining)
         else:
-            self._outbox.discard(ending.record.attempt)
-            self._forget(ending.record.attempt)
-        self._parts.count(Event[settled.settlement.name])
+            self._outbox.discard(write.record.attempt)
+            self._remove_active(write.record.attempt)
+        self._deps.count(Event[settle_result.settlement.name])
         _LOG.info(
             "event=claim_ended attempt=%s state=%s settlement=%s",
-            ending.record.attempt,
-            ending.record.state.name.lower(),
-            settled.settlement.value,
+            write.record.attempt,
+            write.record.state.name.lower(),
+            settle_result.settlement.value,
         )
-        return settled.settlement
+        return settle_result.settlement
 
-    def _defer(self, ending: settling.Ending) -> None:
-        for dropped in self._outbox.put(ending):
-            self._forget(dropped.record.attempt)
-            self._parts.count(Event.DROPPED)
+    def _defer(self, write: settling.OutcomeWrite) -> None:
+        for dropped in self._outbox.put(write):
+            self._remove_active(dropped.record.attempt)
+            self._deps.count(Event.DROPPED)
             _LOG.error(
                 "event=ending_dropped attempt=%s state=%s",
                 dropped.record.attempt,
                 dropped.record.state.name.lower(),
             )
 
-    def _forget(self, attempt: ids.AttemptId) -> None:
+    def _remove_active(self, attempt: ids.AttemptId) -> None:
         with self._lock:
-            self._live.discard(attempt)
+            self._active.discard(attempt)
 
 
 def _to_ms(seconds: float) -> int:
--- a/pollenfork/ledger/outbox.py
+++ b/pollenfork/ledger/outbox.py
@@ -1,4 +1,4 @@
-"""Endings that the platform couldn't take yet, within bounds of memory."""
+"""Outcome writes that wait for the platform, in bounded memory."""
 
 import collections
 import threading
@@ -7,74 +7,74 @@
 from pollenfork.ledger import records
 from pollenfork.ledger import settling
 
-MAX_ENDINGS = 512
+MAX_WRITES = 512
 MAX_BYTES = 4 * 1024 * 1024
 
 
 class Outbox:
-    """Endings by attempt, the oldest first; shared by threads.
+    """Deferred outcome writes by attempt, oldest first; thread-safe.
 
-    When it is full endings fall out, first those of claims that were never
-    run, then the oldest: their records stay open and become unknown, which
-    is safe and costs the caller the answer.
+    When it is full, it drops writes for requests that weren't run first, then
+    the oldest. The records of dropped writes stay open and their outcome
+    becomes unknown: this is safe, but the client doesn't get the answer.
     """
 
     def __init__(
-        self, max_endings: int = MAX_ENDINGS, max_bytes: int = MAX_BYTES
+        self, max_writes: int = MAX_WRITES, max_bytes: int = MAX_BYTES
     ) -> None:
-        self._max_endings = max_endings
+        self._max_writes = max_writes
         self._max_bytes = max_bytes
         self._lock = threading.Lock()
         self._bytes = 0
-        self._endings: collections.OrderedDict[
-            ids.AttemptId, settling.Ending
+        self._writes: collections.OrderedDict[
+            ids.AttemptId, settling.OutcomeWrite
         ] = collections.OrderedDict()
 
     def __len__(self) -> int:
-        """Returns how many endings wait."""
+        """Returns the number of deferred writes."""
         with self._lock:
-            return len(self._endings)
+            return len(self._writes)
 
-    def put(self, ending: settling.Ending) -> list[settling.Ending]:
-        """Keeps the ending; returns those that fell out for it."""
+    def put(self, write: settling.OutcomeWrite) -> list[settling.OutcomeWrite]:
+        """Adds or replaces a write; returns those dropped to make room."""
         dropped = []
         with self._lock:
-            self._discard(ending.record.attempt)
-            self._endings[ending.record.attempt] = ending
-            self._bytes += _measure(ending)
-            while self._is_over():
-                victim = self._choose_victim()
-                self._discard(victim.record.attempt)
-                dropped.append(victim)
+            self._discard(write.record.attempt)
+            self._writes[write.record.attempt] = write
+            self._bytes += _get_size(write)
+            while self._exceeds_limits():
+                candidate = self._choose_dropped()
+                self._discard(candidate.record.attempt)
+                dropped.append(candidate)
         return dropped
 
     def discard(self, attempt: ids.AttemptId) -> None:
-        """Forgets the attempt's ending."""
+        """Removes the attempt's write, if any."""
         with self._lock:
             self._discard(attempt)
 
-    def list_all(self, row: str | None = None) -> list[settling.Ending]:
-        """Returns the endings, all or those of one row."""
+    def list_all(self, row: str | None = None) -> list[settling.OutcomeWrite]:
+        """Returns all writes, or those of one row."""
         with self._lock:
-            waiting = self._endings.values()
-            return [one for one in waiting if row in (None, one.row)]
+            deferred = self._writes.values()
+            return [write for write in deferred if row in (None, write.row)]
 
     def _discard(self, attempt: ids.AttemptId) -> None:
-        known = self._endings.pop(attempt, None)
-        if known:
-            self._bytes -= _measure(known)
-
-    def _choose_victim(self) -> settling.Ending:
-        waiting = list(self._endings.values())
-        for ending in waiting:
-            if ending.record.state is records.State.NOT_RUN:
-                return ending
-        return waiting[0]
-
-    def _is_over(self) -> bool:
-        too_many = len(self._endings) > self._max_endings
+        removed = self._writes.pop(attempt, None)
+        if removed:
+            self._bytes -= _get_size(removed)
+
+    def _choose_dropped(self) -> settling.OutcomeWrite:
+        deferred = list(self._writes.values())
+        for write in deferred:
+            if write.record.state is records.State.NOT_RUN:
+                return write
+        return deferred[0]
+
+    def _exceeds_limits(self) -> bool:
+        too_many = len(self._writes) > self._max_writes
         return too_many or self._bytes > self._max_bytes
 
 
-def _measure(ending: settling.Ending) -> int:
-    return len(ending.answer or b"")
+def _get_size(write: settling.OutcomeWrite) -> int:
+    return len(write.answer or b"")
--- a/pollenfork/ledger/records.py
+++ b/pollenfork/ledger/records.py
@@ -1,8 +1,8 @@
-"""The bytes kept in the platform: one row for each key, one answer object.
+"""Formats of the stored data: a row for each key, an object for its answer.
 
-Both begin with a format number, then MessagePack. Fields may be appended
-without a new number; anything else takes a new one and keeps the old
-decoder. The golden bytes are in `tests/golden`.
+Both consist of a format number and MessagePack data. Fields may be appended
+without a new number. Any other change needs a new number, and the decoder of
+the old one stays. The golden files are in `tests/golden`.
 """
 
 import enum
@@ -22,11 +22,11 @@
 
 
 class State(enum.Enum):
-    """What is known of the request under a key."""
+    """Known state of the request under a key."""
 
     OPEN = 1  # Claimed; it may be running.
     DONE = 2
-    NOT_RUN = 3  # Proved; the next claim takes the row over.
+    NOT_RUN = 3  # Certainly not run; the next claim overwrites the row.
     UNKNOWN = 4
 
 
@@ -34,13 +34,13 @@
     """The record under one key. Times are Unix milliseconds.
 
     Attributes:
-        account: Whose key it is, for operators.
-        fingerprint: Of the method, path and body.
-        attempt: Of the claim; names the answer's object.
-        owner: The instance that claimed, with its `incarnation`.
+        account: The account that the key belongs to, for operators.
+        fingerprint: Digest of the method, path and body.
+        attempt: Id of the claim; part of the key of the answer's object.
+        owner: The instance that made the claim, with its `incarnation`.
         changed_ms: When the state was last written.
-        answer_digest: SHA-256 of the answer's object; empty where the answer
-            was too large to keep.
+        answer_digest: SHA-256 of the answer's object; empty if the answer was
+            too large to store.
     """
 
     state: State
@@ -55,7 +55,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True):
-    """The answer that a repeat receives again, byte for byte."""
+    """The stored answer, which is replayed byte for byte to retries."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -63,7 +63,7 @@
 
 
 class UnreadableRecord(failures.Failure, frozen=True, kw_only=True):
-    """The bytes have another format number, or are damaged."""
+    """The data has another format number or is corrupt."""
 
 
 _RECORDS = msgspec.msgpack.Decoder(Record)
@@ -91,7 +91,7 @@
 
 
 def compute_digest(value: bytes) -> bytes:
-    """Returns the digest by which a record names its answer's bytes."""
+    """Returns the digest with which a record identifies its answer."""
     return hashlib.sha256(value).digest()
 
 
--- a/pollenfork/ledger/settling.py
+++ b/pollenfork/ledger/settling.py
@@ -1,4 +1,4 @@
-"""The core of an ending: writes what became of a claimed request."""
+"""Writes the outcome of a claimed request."""
 
 import enum
 
@@ -13,28 +13,29 @@
 from pollenfork.store import errors as platform_errors
 
 _MAX_ROUNDS = 4
-_REREAD = -2  # The row's version isn't known.
+_UNKNOWN_VERSION = -2  # The row must be read first.
 
 
 class Settlement(enum.Enum):
-    """What became of an ending."""
+    """Result of writing an outcome."""
 
     RECORDED = "recorded"
-    DEFERRED = "deferred"  # The platform is away; tried again later.
-    SUPERSEDED = "superseded"  # The row is no longer this attempt's.
+    DEFERRED = "deferred"  # The platform is unavailable; retried later.
+    SUPERSEDED = "superseded"  # The row no longer belongs to this attempt.
 
 
-class Ending(msgspec.Struct, frozen=True, kw_only=True):
-    """An ending to write.
+class OutcomeWrite(msgspec.Struct, frozen=True, kw_only=True):
+    """The outcome of a claim, to be written.
 
     Attributes:
         row: Key of the row.
-        record: As it shall stand.
-        version: Of the row as last seen; None where it isn't known.
-        answer: The answer's object, until it is stored.
-        number: Grows with each try, so that each try has write ids of its
-            own: an old id would be answered from memory at first and have
-            a second effect once the table has forgotten it.
+        record: The record to write.
+        version: Version of the row as last seen; None if unknown.
+        answer: The encoded answer; None if there is none or it is stored.
+        recorded: The record is written; only the answer remains.
+        try_number: Increases with each try, so that each try has its own write
+            ids. A reused id would get the earlier response while the table
+            remembers it, and would be applied again after that.
     """
 
     row: str
@@ -42,89 +43,89 @@
     version: int | None
     answer: bytes | None = None
     recorded: bool = False
-    number: int = 0
+    try_number: int = 0
 
 
-class Settled(msgspec.Struct, frozen=True):
-    """The verdict; `rest` is what a later try has to do."""
+class SettleResult(msgspec.Struct, frozen=True):
+    """Result of one try; `remaining` is what a later try must write."""
 
     settlement: Settlement
-    rest: Ending | None = None
+    remaining: OutcomeWrite | None = None
 
 
-def settle(ending: Ending) -> steps.Steps[Settled]:
-    """Stores the answer, then writes the record, as far as possible."""
-    answer = ending.answer
+def settle(write: OutcomeWrite) -> steps.Steps[SettleResult]:
+    """Stores the answer, then writes the record; both may be deferred."""
+    answer = write.answer
     if answer is not None:
-        key = keys.make_answer_key(ending.row, ending.record.attempt)
+        key = keys.make_answer_key(write.row, write.record.attempt)
         stored = yield from steps.store_object(key, answer)
         answer = None if stored.is_ok() else answer
     settlement = Settlement.RECORDED
-    if not ending.recorded:
-        settlement = yield from _record(ending)
+    if not write.recorded:
+        settlement = yield from _write_record(write)
     recorded = settlement is Settlement.RECORDED
     if settlement is Settlement.SUPERSEDED or (recorded and answer is None):
-        return Settled(settlement)
-    rest = msgspec.structs.replace(
-        ending,
+        return SettleResult(settlement)
+    remaining = msgspec.structs.replace(
+        write,
         version=None,
         answer=answer,
         recorded=recorded,
-        number=ending.number + 1,
+        try_number=write.try_number + 1,
     )
-    return Settled(Settlement.DEFERRED, rest)
+    return SettleResult(Settlement.DEFERRED, remaining)
 
 
-def _record(ending: Ending) -> steps.Steps[Settlement]:
-    expected = _REREAD if ending.version is None else ending.version
-    for number in range(_MAX_ROUNDS):
-        if expected == _REREAD:
-            found = yield from _find_version(ending)
+def _write_record(write: OutcomeWrite) -> steps.Steps[Settlement]:
+    expected = _UNKNOWN_VERSION if write.version is None else write.version
+    for round_number in range(_MAX_ROUNDS):
+        if expected == _UNKNOWN_VERSION:
+            found = yield from _find_version(write)
             if isinstance(found, Settlement):
                 return found
             expected = found
         written = yield from steps.commit(
-            _make_transaction(ending, expected, number)
+            _make_transaction(write, expected, round_number)
         )
         if isinstance(written, result.Ok):
             return Settlement.RECORDED
         if not isinstance(written.err_value, platform_errors.Conflicted):
             return Settlement.DEFERRED
-        expected = _REREAD
+        expected = _UNKNOWN_VERSION
     return Settlement.DEFERRED
 
 
-def _find_version(ending: Ending) -> steps.Steps[int | Settlement]:
-    """Returns the version to write over, or the verdict without a write."""
-    read = yield from steps.read_row(ending.row)
+def _find_version(write: OutcomeWrite) -> steps.Steps[int | Settlement]:
+    """Returns the version to overwrite, or the result if no write is due."""
+    read = yield from steps.read_row(write.row)
     if isinstance(read, result.Err):
         return Settlement.DEFERRED
     row = read.ok_value
     if row is None:
-        return _judge_absent(ending)
+        return _handle_absent(write)
     decoded = records.decode_record(row.value)
     if isinstance(decoded, result.Err):
         return Settlement.SUPERSEDED
     found = decoded.ok_value
-    if found.attempt != ending.record.attempt:
+    if found.attempt != write.record.attempt:
         return Settlement.SUPERSEDED
-    if found.state in (ending.record.state, records.State.DONE):
+    if found.state in (write.record.state, records.State.DONE):
         return Settlement.RECORDED
     return row.version
 
 
-def _judge_absent(ending: Ending) -> int | Settlement:
-    # A claim whose answer was lost may still be on its way; a row that says
-    # "not run" takes its place, so that it can't open a record any more.
-    if ending.record.state is records.State.NOT_RUN:
+def _handle_absent(write: OutcomeWrite) -> int | Settlement:
+    # The claim's write got no response and may still be in transit. A row that
+    # says "not run" makes that write fail, so that it can't open a record.
+    if write.record.state is records.State.NOT_RUN:
         return edges.ABSENT
     return Settlement.SUPERSEDED
 
 
 def _make_transaction(
-    ending: Ending, expected: int, number: int
+    write: OutcomeWrite, expected: int, round_number: int
 ) -> edges.Transaction:
-    value = records.encode_record(ending.record)
-    put = edges.Put(ending.row, value, expected)
-    name = f"{ending.record.attempt}/end/{ending.number}.{number}"
+    value = records.encode_record(write.record)
+    put = edges.Put(write.row, value, expected)
+    name = f"{write.record.attempt}/end/{write.try_number}.{round_number}"
     return edges.Transaction(ids.WriteId(name), puts=(put,))
--- a/pollenfork/ledger/steps.py
+++ b/pollenfork/ledger/steps.py
@@ -1,8 +1,8 @@
-"""How the ledger's cores ask for calls to the platform without making them.
+"""Actions of the ledger's logic, which makes no platform calls itself.
 
-A core is a generator: it yields an action, is sent the reply, and returns
-its verdict. It reads no clock and holds no connection; the shell performs
-the actions, a test answers them itself.
+The logic consists of generators. Each yields an action, receives the reply to
+it and finally returns a result. It reads no clock and holds no connection:
+`run` performs the actions, and a test can supply the replies itself.
 """
 
 from collections.abc import Generator
@@ -64,49 +64,49 @@
 def read_row(
     key: str,
 ) -> Steps[result.Result[edges.Row | None, errors.PlatformFailure]]:
-    """Asks for one row."""
+    """Yields the reading of one row; returns the reply."""
     return (yield ReadRow(key))
 
 
 def scan_rows(
     prefix: str, after: str, limit: int
 ) -> Steps[result.Result[tuple[edges.Row, ...], errors.PlatformFailure]]:
-    """Asks for a page of rows."""
+    """Yields the reading of a page of rows; returns the reply."""
     return (yield ScanRows(prefix, after, limit))
 
 
 def commit(
     transaction: edges.Transaction,
 ) -> Steps[result.Result[edges.Committed, errors.PlatformFailure]]:
-    """Asks for a transaction."""
+    """Yields a transaction; returns the reply."""
     return (yield Commit(transaction))
 
 
 def fetch_object(
     key: str,
 ) -> Steps[result.Result[bytes | None, errors.PlatformFailure]]:
-    """Asks for an object's bytes."""
+    """Yields the reading of an object; returns the reply."""
     return (yield FetchObject(key))
 
 
 def store_object(
     key: str, body: bytes
 ) -> Steps[result.Result[None, errors.PlatformFailure]]:
-    """Asks for an object to be written."""
+    """Yields the writing of an object; returns the reply."""
     return (yield StoreObject(key, body))
 
 
 def remove_object(
     key: str,
 ) -> Steps[result.Result[None, errors.PlatformFailure]]:
-    """Asks for an object to be deleted."""
+    """Yields the deletion of an object; returns the reply."""
     return (yield RemoveObject(key))
 
 
 def perform(
     action: Action, table: edges.TableService, objects: edges.ObjectStore
 ) -> Reply:
-    """Carries one action out; blocks."""
+    """Performs one action; blocks."""
     match action:
         case Commit(transaction):
             return table.commit(transaction)
@@ -125,7 +125,7 @@
 def run(
     steps: Steps[_T], table: edges.TableService, objects: edges.ObjectStore
 ) -> _T:
-    """Carries out all actions of a core and returns its verdict; blocks."""
+    """Performs all actions of a generator, returns its result; blocks."""
     reply: Reply | None = None
     while True:
         try:
--- a/pollenfork/ledger/sweeping.py
+++ b/pollenfork/ledger/sweeping.py
@@ -1,4 +1,4 @@
-"""The core of the clean-up: one bounded page of records at a time."""
+"""Cleans up records, one bounded page at a time."""
 
 from collections.abc import Callable
 
@@ -13,29 +13,30 @@
 from pollenfork.store import edges
 from pollenfork.store import errors as platform_errors
 
-WRITE_PART = 0.25  # Each keyed request writes four times, once to leave.
+# A keyed request makes four writes in all; one of them removes its record.
+WRITE_SHARE = 0.25
 
 
 def compute_removals(writes_per_s: float, period_s: float) -> int:
-    """Returns the records that one sweep may remove.
+    """Returns the number of records that one sweep may remove.
 
     Args:
         writes_per_s: The instance's share of the platform's writes.
         period_s: Seconds between two sweeps.
     """
-    return max(1, int(writes_per_s * period_s * WRITE_PART))
+    return max(1, int(writes_per_s * period_s * WRITE_SHARE))
 
 
-class Ask(msgspec.Struct, frozen=True, kw_only=True):
-    """One page to clean.
+class PageRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """A page of records to clean up.
 
     Attributes:
-        after: Key of the last row looked at; empty for the first page.
-        rows: Rows read at most.
-        removals: Expired records removed at most; each costs a write for
-            its answer.
-        write_id: New for each page.
-        is_lost: Returns whether the owner of an open record has ended.
+        after: Key of the last row processed; empty for the first page.
+        rows: Maximum number of rows to read.
+        removals: Maximum number of expired records to remove; each costs
+            one more write, for its answer.
+        write_id: A new id for each page.
+        is_owner_gone: Returns whether the owner of an open record has ended.
     """
 
     after: str
@@ -44,16 +45,17 @@
     write_id: ids.WriteId
     now_ms: int
     limits: claiming.Limits
-    is_lost: Callable[[records.Record], bool]
+    is_owner_gone: Callable[[records.Record], bool]
 
 
-class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """What a page came to.
+class PageReport(msgspec.Struct, frozen=True, kw_only=True):
+    """Result of cleaning one page.
 
     Attributes:
-        after: Where the next page begins; empty at the end of the table.
-        open_records: Open ones seen that were left open.
-        closed: Open ones whose outcome was set to unknown.
+        after: Key after which the next page starts; empty at the end of the
+            table.
+        open_records: Open records that stay open.
+        closed: Open records whose outcome was set to unknown.
     """
 
     after: str
@@ -71,30 +73,32 @@
     rows: int = 0
     open_records: int = 0
     unreadable: int = 0
-    whole: bool = True
+    complete: bool = True
 
 
-def sweep(ask: Ask) -> steps.Steps[Report]:
-    """Closes abandoned records and removes expired ones of one page.
+def sweep(request: PageRequest) -> steps.Steps[PageReport]:
+    """Closes abandoned and removes expired records of one page.
 
-    All instances do this at random places without agreeing: each write has
-    the row's version as its condition, so two that meet do no harm.
+    All instances do this from random positions without coordination. Each write
+    depends on the row's version, so overlapping sweeps do no harm.
     """
-    scanned = yield from steps.scan_rows(keys.ROW_PREFIX, ask.after, ask.rows)
+    scanned = yield from steps.scan_rows(
+        keys.ROW_PREFIX, request.after, request.rows
+    )
     if isinstance(scanned, result.Err):
-        return Report(after=ask.after)
+        return PageReport(after=request.after)
     rows = scanned.ok_value
-    page = _Page(puts=[], deletes=[], after=ask.after)
+    page = _Page(puts=[], deletes=[], after=request.after)
     for row in rows:
-        handled = yield from _handle(ask, row, page)
-        if not handled:
-            page.whole = False
+        processed = yield from _process_row(request, row, page)
+        if not processed:
+            page.complete = False
             break
         page.rows += 1
         page.after = row.key
-    closed, removed = yield from _commit(ask, page)
-    at_end = page.whole and len(rows) < ask.rows
-    return Report(
+    closed, removed = yield from _commit(request, page)
+    at_end = page.complete and len(rows) < request.rows
+    return PageReport(
         after="" if at_end else page.after,
         rows=page.rows,
         open_records=page.open_records,
@@ -104,33 +108,35 @@
     )
 
 
-def _handle(ask: Ask, row: edges.Row, page: _Page) -> steps.Steps[bool]:
-    """Adds the row's writes to the page; False where the page must end."""
+def _process_row(
+    request: PageRequest, row: edges.Row, page: _Page
+) -> steps.Steps[bool]:
+    """Adds the row's writes to the page; returns False to end the page."""
     decoded = records.decode_record(row.value)
     if isinstance(decoded, result.Err):
-        page.unreadable += 1  # A later version's; that version removes it.
+        page.unreadable += 1  # Written by a later version, which removes it.
         return True
     record = decoded.ok_value
-    if claiming.is_expired(record, ask.now_ms, ask.limits):
-        return (yield from _remove(ask, row, record, page))
+    if claiming.is_expired(record, request.now_ms, request.limits):
+        return (yield from _add_removal(request, row, record, page))
     if record.state is not records.State.OPEN:
         return True
-    overdue = claiming.is_overdue(record, ask.now_ms, ask.limits)
-    if overdue or ask.is_lost(record):
-        page.puts.append(_make_unknown(ask, row, record))
+    overdue = claiming.is_overdue(record, request.now_ms, request.limits)
+    if overdue or request.is_owner_gone(record):
+        page.puts.append(_make_closing_put(request, row, record))
     else:
         page.open_records += 1
     return True
 
 
-def _remove(
-    ask: Ask, row: edges.Row, record: records.Record, page: _Page
+def _add_removal(
+    request: PageRequest, row: edges.Row, record: records.Record, page: _Page
 ) -> steps.Steps[bool]:
-    if len(page.deletes) >= ask.removals:
+    if len(page.deletes) >= request.removals:
         return False
     if record.state is not records.State.NOT_RUN:
-        # The answer goes first: a row without it can be removed later, an
-        # answer without its row would stay for ever.
+        # Remove the answer first: a row without answer can be removed later,
+        # but an answer without row would never be found again.
         key = keys.make_answer_key(row.key, record.attempt)
         removed = yield from steps.remove_object(key)
         if removed.is_err():
@@ -139,22 +145,22 @@
     return True
 
 
-def _make_unknown(
-    ask: Ask, row: edges.Row, record: records.Record
+def _make_closing_put(
+    request: PageRequest, row: edges.Row, record: records.Record
 ) -> edges.Put:
     closed = msgspec.structs.replace(
-        record, state=records.State.UNKNOWN, changed_ms=ask.now_ms
+        record, state=records.State.UNKNOWN, changed_ms=request.now_ms
     )
     return edges.Put(row.key, records.encode_record(closed), row.version)
 
 
-def _commit(ask: Ask, page: _Page) -> steps.Steps[tuple[int, int]]:
-    """Writes the page, without the rows that changed meanwhile."""
+def _commit(request: PageRequest, page: _Page) -> steps.Steps[tuple[int, int]]:
+    """Writes the page, except for rows that changed meanwhile."""
     puts, deletes = tuple(page.puts), tuple(page.deletes)
     for number in range(2):
         if not puts and not deletes:
             return 0, 0
-        name = ids.WriteId(f"{ask.write_id}/sweep/{number}")
+        name = ids.WriteId(f"{request.write_id}/sweep/{number}")
         written = yield from steps.commit(
             edges.Transaction(name, puts=puts, deletes=deletes)
         )
--- a/pollenfork/ledger/tests/harness.py
+++ b/pollenfork/ledger/tests/harness.py
@@ -116,8 +116,8 @@
         )
 
     def make_ledger(self, table, objects):
-        parts = ledger.Parts(
-            find_owner=lambda: self.owner,
+        parts = ledger.Dependencies(
+            get_owner=lambda: self.owner,
             table=table,
             objects=objects,
             owners=self.world,
--- a/pollenfork/ledger/tests/test_at_most_once.py
+++ b/pollenfork/ledger/tests/test_at_most_once.py
@@ -123,7 +123,7 @@
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def settle(self, name):
         instance = self.instances[name]
-        self.add(Job(instance, instance.ledger.settle_deferred))
+        self.add(Job(instance, instance.ledger.retry_deferred))
 
     @stateful.precondition(lambda self: self.jobs)
     @stateful.rule(
@@ -221,7 +221,7 @@
         self.nothing_ran_twice()
         for instance in self.instances.values():
             if not instance.dead:
-                assert instance.ledger.settle_deferred() == 0
+                assert instance.ledger.retry_deferred() == 0
         alive = {i.owner for i in self.instances.values() if not i.dead}
         self.world.is_gone = lambda *owner: (
             not any(owner == (one.instance, one.incarnation) for one in alive)
--- a/pollenfork/ledger/tests/test_faults.py
+++ b/pollenfork/ledger/tests/test_faults.py
@@ -114,7 +114,7 @@
     script(first, step, fault)
     assert harness.name_verdict(first.submit(KEY)) == told
     assert repeat(world) == at_once
-    assert first.ledger.settle_deferred() == 0
+    assert first.ledger.retry_deferred() == 0
     assert repeat(world) == settled
     assert world.count_runs(KEY) == runs
 
@@ -289,7 +289,7 @@
     script(first, CLAIM, Fault.LOST_BEFORE)
     first.submit(KEY)
     heal(first)
-    assert first.ledger.settle_deferred() == 0
+    assert first.ledger.retry_deferred() == 0
     assert commit(late[0]).is_err()
     assert repeat(world) == "DONE"
 
@@ -319,10 +319,10 @@
     for claim in claims:
         claim.record_done(200, [], b"x" * 10_000)
     kept = outbox.MAX_BYTES // 10_008  # Eight bytes of framing each.
-    assert first.ledger.settle_deferred() == kept
+    assert first.ledger.retry_deferred() == kept
     assert first.events[ledger.Event.DROPPED] == 600 - kept
     heal(first)
-    assert first.ledger.settle_deferred() == 0
+    assert first.ledger.retry_deferred() == 0
     verdicts = [
         type(first.ledger.claim(key, b"f", world.clock.wall()).unwrap_err())
         for key in (keys.RequestKey("a", "0"), keys.RequestKey("a", "599"))
--- a/pollenfork/ledger/tests/test_formats.py
+++ b/pollenfork/ledger/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""Keys, golden bytes of the formats, and the rule on repeats."""
+"""Keys, golden files of the formats, and the rule for retries."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 from pollenfork import failures
 from pollenfork.ledger import keys
 from pollenfork.ledger import records
-from pollenfork.ledger import repeats
+from pollenfork.ledger import retries
 from pollenfork.settings import model
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
@@ -39,22 +39,22 @@
         ("answer-1", ANSWER, records.encode_answer, records.decode_answer),
     ],
 )
-def test_bytes_kept_in_the_platform(name, value, encode, decode):
-    kept = read_golden(f"{name}.hex")
-    assert encode(value) == kept
-    assert decode(kept) == result.Ok(value)
-    appended = kept[:1] + bytes([kept[1] + 1]) + kept[2:] + b"\xc3"
-    assert decode(appended) == result.Ok(value)  # Of a later version.
+def test_stored_data_matches_the_golden_files(name, value, encode, decode):
+    stored = read_golden(f"{name}.hex")
+    assert encode(value) == stored
+    assert decode(stored) == result.Ok(value)
+    appended = stored[:1] + bytes([stored[1] + 1]) + stored[2:] + b"\xc3"
+    assert decode(appended) == result.Ok(value)  # Written by a later version.
 
 
-@pytest.mark.parametrize("kept", [b"", b"\x02\x90", b"\x01", b"\x01\x93\x09"])
-def test_other_formats_and_damage_are_typed_failures(kept):
+@pytest.mark.parametrize("stored", [b"", b"\x02\x90", b"\x01", b"\x01\x93\x09"])
+def test_other_formats_and_corrupt_data_are_reported(stored):
     for decode in (records.decode_record, records.decode_answer):
-        failure = decode(kept).unwrap_err()
+        failure = decode(stored).unwrap_err()
         assert isinstance(failure, records.UnreadableRecord)
 
 
-def test_numbers_of_the_states_never_change():
+def test_numbers_of_the_states_are_stable():
     assert [(state.name, state.value) for state in records.State] == [
         ("OPEN", 1),
         ("DONE", 2),
@@ -80,7 +80,7 @@
         (r'"\a"', None),
     ],
 )
-def test_header(header, key):
+def test_header_parsing(header, key):
     read = keys.read_header("settlement", header)
     if key is None:
         assert isinstance(read.unwrap_err(), keys.BadKey)
@@ -98,15 +98,15 @@
 
 
 def test_fingerprints_differ_by_method_path_and_body():
-    asked = [
+    arguments = [
         ("POST", "/a", b"x"),
         ("PUT", "/a", b"x"),
         ("POST", "/b", b"x"),
         ("POST", "/a", b"y"),
         ("POST", "/ax", b""),
     ]
-    made = {keys.compute_fingerprint(*one) for one in asked}
-    assert len(made) == len(asked)
+    fingerprints = {keys.compute_fingerprint(*one) for one in arguments}
+    assert len(fingerprints) == len(arguments)
 
 
 POSTINGS = model.ServiceSettings(
@@ -137,7 +137,7 @@
         ("POST", None, False, DONE, True, "forbidden"),
     ],
 )
-def test_repeats(method, service, has_key, outcome, sent, expected):
-    asked = (method, service, has_key, outcome, sent)
-    assert repeats.judge_repeat(*asked) is repeats.Repeat(expected)
-    assert repeats.may_repeat(*asked) is (expected != "forbidden")
+def test_retry_rule(method, service, has_key, outcome, sent, expected):
+    arguments = (method, service, has_key, outcome, sent)
+    assert retries.decide_retry(*arguments) is retries.RetryRule(expected)
+    assert retries.may_retry(*arguments) is (expected != "forbidden")
