--- a/pollenfork/ledger/tests/harness.py
+++ b/pollenfork/ledger/tests/harness.py
@@ -1,4 +1,4 @@
-"""Instances that share a platform, an endpoint that counts its runs."""
+"""Simulated instances on a shared platform, with an endpoint."""
 
 import collections
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class Fault(enum.Enum):
-    """What goes wrong at one step of an instance."""
+    """The fault at one step of an instance."""
 
     NONE = "none"
     DOWN = "down"
@@ -31,7 +31,7 @@
     CRASH_AFTER = "crash_after"
 
 
-_FAULTS = {
+_PLATFORM_FAULTS = {
     Fault.DOWN: config.Faults(down=True),
     Fault.THROTTLED: config.Faults(throttle=True),
     Fault.LOST_BEFORE: config.Faults(lose=config.Loss.BEFORE_EFFECT),
@@ -39,17 +39,17 @@
 }
 
 
-class Sending(enum.Enum):
-    """What the endpoint makes of a request."""
+class Delivery(enum.Enum):
+    """How the endpoint handles a request."""
 
     RUN = "run"
-    REFUSED = "refused"  # Proved not run.
-    CUT_BEFORE = "cut_before"  # Not run, but the caller can't know.
+    REFUSED = "refused"  # Certainly not run.
+    CUT_BEFORE = "cut_before"  # Not run, but the instance can't know.
     CUT_AFTER = "cut_after"
 
 
-class Told(enum.Enum):
-    """What the caller hears where the claim was granted."""
+class ToldOutcome(enum.Enum):
+    """Outcome that a client is told after its claim was granted."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -57,7 +57,7 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One real run at the endpoint."""
+    """One actual run of a request at the endpoint."""
 
     key: keys.RequestKey
     request: bytes
@@ -66,11 +66,11 @@
 
 
 class Crash(BaseException):
-    """The instance ended; nothing of it runs any more."""
+    """The instance's process ended."""
 
 
-class World:
-    """The platform, the endpoint, and who is known to be gone."""
+class Simulation:
+    """The platform, the endpoint and the processes known to have ended."""
 
     def __init__(self):
         self.clock = clock.ManualClock()
@@ -78,23 +78,23 @@
             config.PlatformConfig(reads_per_s=1e9, writes_per_s=1e9)
         )
         self.runs: list[Run] = []
-        self.gone = set()
+        self.ended = set()
         self.incarnations = itertools.count(1)
-        self.numbers = itertools.count(1)
+        self.id_numbers = itertools.count(1)
 
     def is_gone(self, instance, incarnation):
-        return (instance, incarnation) in self.gone
+        return (instance, incarnation) in self.ended
 
     def start(self, name):
         return Instance(self, name, next(self.incarnations))
 
-    def send(self, key, request, sending):
-        """Returns the answer, or None where it was lost or refused."""
-        if sending in (Sending.RUN, Sending.CUT_AFTER):
+    def send(self, key, request, delivery):
+        """Returns the answer, or None if it was lost or the request refused."""
+        if delivery in (Delivery.RUN, Delivery.CUT_AFTER):
             answer = b"answer %d" % len(self.runs)
             now = self.clock.wall()
             self.runs.append(Run(key, request, now, answer))
-            return answer if sending is Sending.RUN else None
+            return answer if delivery is Delivery.RUN else None
         return None
 
     def count_runs(self, key):
@@ -102,77 +102,80 @@
 
 
 class Instance:
-    """One process start; `choose_fault` is asked at each step."""
+    """One process of an instance; `choose_fault` is called at each step."""
 
-    def __init__(self, world, name, incarnation):
-        self.world = world
+    def __init__(self, simulation, name, incarnation):
+        self.simulation = simulation
         self.owner = claiming.Owner(name, incarnation)
         self.dead = False
         self.choose_fault: Callable[[], Fault] = lambda: Fault.NONE
         self.events = collections.Counter()
-        self.platform = fake.FakePlatform(world.clock, world.state)
+        self.platform = fake.FakePlatform(simulation.clock, simulation.state)
         self.ledger = self.make_ledger(
-            Wire(self, self.platform.table), Wire(self, self.platform.objects)
+            StepwiseService(self, self.platform.table),
+            StepwiseService(self, self.platform.objects),
         )
 
     def make_ledger(self, table, objects):
-        parts = ledger.Dependencies(
+        deps = ledger.Dependencies(
             get_owner=lambda: self.owner,
             table=table,
             objects=objects,
-            owners=self.world,
-            now=self.world.clock,
-            new_id=lambda: f"{next(self.world.numbers):016x}",
+            owners=self.simulation,
+            now=self.simulation.clock,
+            new_id=lambda: f"{next(self.simulation.id_numbers):016x}",
             limits=LIMITS,
             count=lambda event: self.events.update([event]),
         )
-        return ledger.Ledger(parts)
+        return ledger.Ledger(deps)
 
-    def step(self, act=lambda: None):
-        """Does one step under the fault that is chosen for it."""
+    def step(self, call=lambda: None):
+        """Performs one step with the fault chosen for it."""
         fault = self.choose_fault()
         if self.dead or fault is Fault.CRASH_BEFORE:
             self.dead = True
             raise Crash
-        self.platform.set_faults(_FAULTS.get(fault, config.Faults()))
-        answer = act()
+        self.platform.set_faults(_PLATFORM_FAULTS.get(fault, config.Faults()))
+        answer = call()
         self.platform.set_faults(config.Faults())
         if fault is Fault.CRASH_AFTER:
             self.dead = True
             raise Crash
         return answer
 
-    def submit(self, key, request=b"post 7 kWh", sending=Sending.RUN):
-        """Does what the entry does for one keyed request."""
-        world = self.world
+    def submit(self, key, request=b"post 7 kWh", delivery=Delivery.RUN):
+        """Handles one keyed request as the entry does."""
+        simulation = self.simulation
         fingerprint = keys.compute_fingerprint("POST", "/postings", request)
-        verdict = self.ledger.claim(key, fingerprint, world.clock.wall())
-        if verdict.is_err():
-            return verdict.unwrap_err()
-        with verdict.unwrap() as claim:
+        claim_result = self.ledger.claim(
+            key, fingerprint, simulation.clock.wall()
+        )
+        if claim_result.is_err():
+            return claim_result.unwrap_err()
+        with claim_result.unwrap() as claim:
             self.step()
             if not claim.may_send():
                 claim.record_not_run()
-                return Told.NOT_RUN
-            answer = world.send(key, request, sending)
+                return ToldOutcome.NOT_RUN
+            answer = simulation.send(key, request, delivery)
             self.step()
-            if sending is Sending.REFUSED:
+            if delivery is Delivery.REFUSED:
                 claim.record_not_run()
-                return Told.NOT_RUN
+                return ToldOutcome.NOT_RUN
             if answer is None:
-                return Told.UNKNOWN
+                return ToldOutcome.UNKNOWN
             claim.record_done(200, [("X-Run", "1")], answer)
-            return Told.DONE
+            return ToldOutcome.DONE
 
-    def submit_until_crash(self, *asked):
+    def submit_until_crash(self, *args):
         try:
-            return self.submit(*asked)
+            return self.submit(*args)
         except Crash:
             return None
 
 
-class Wire:
-    """A service of the platform, reached step by step."""
+class StepwiseService:
+    """A platform service; each call to it is a step of the instance."""
 
     def __init__(self, instance, service):
         self._instance = instance
@@ -183,8 +186,8 @@
         return lambda *args: self._instance.step(lambda: call(*args))
 
 
-def name_verdict(verdict):
-    """Returns the name of a refusal's type, or of what was told."""
-    if isinstance(verdict, errors.LedgerRefusal):
-        return type(verdict).__name__
-    return verdict.name
+def get_result_name(claim_result):
+    """Returns the name of a refusal's type or of the outcome told."""
+    if isinstance(claim_result, errors.LedgerRefusal):
+        return type(claim_result).__name__
+    return claim_result.name
--- a/pollenfork/ledger/tests/test_at_most_once.py
+++ b/pollenfork/ledger/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Instances interleaved at every call, with every fault: one run at most."""
+"""At-most-once runs under all faults and interleavings of platform calls."""
 
 import itertools
 import queue
@@ -17,79 +17,82 @@
 KEYS = [keys.RequestKey("settlement", name) for name in "ab"]
 REQUESTS = [b"post 7 kWh", b"post 7 kWh", b"post 7 kWh", b"post 8 kWh"]
 RETENTION_S = harness.LIMITS.retention_s
-_here = threading.local()
+_thread_local = threading.local()
 
 
 class Job:
-    """A thread that halts before each step until it is given a fault."""
+    """Runs a function in a thread, one step at a time.
+
+    The thread waits before each step until `step` supplies its fault.
+    """
 
     def __init__(self, instance, work):
         self.instance = instance
-        self.verdict = None
+        self.outcome = None
         self.ended = False
         self._faults = queue.SimpleQueue()
-        self._halts = queue.SimpleQueue()
+        self._pauses = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, args=(work,))
         self._thread.start()
-        self._await_halt()
+        self._wait_for_pause()
 
     def step(self, fault):
         self._faults.put(fault)
-        self._await_halt()
+        self._wait_for_pause()
 
-    def halt(self):
-        self._halts.put(False)
+    def wait_for_fault(self):
+        self._pauses.put(False)
         return self._faults.get()
 
-    def _await_halt(self):
-        self.ended = self._halts.get()
+    def _wait_for_pause(self):
+        self.ended = self._pauses.get()
         if self.ended:
             self._thread.join()
 
     def _run(self, work):
-        _here.job = self
+        _thread_local.job = self
         try:
-            self.verdict = work()
+            self.outcome = work()
         except harness.Crash:
             pass
         finally:
-            self._halts.put(True)
+            self._pauses.put(True)
 
 
 def choose_fault():
-    """The fault for a step: a job's is given to it, others have none."""
-    job = getattr(_here, "job", None)
-    return job.halt() if job else harness.Fault.NONE
+    """Returns the fault for the current step; none outside of jobs."""
+    job = getattr(_thread_local, "job", None)
+    return job.wait_for_fault() if job else harness.Fault.NONE
 
 
-class CheckedWorld(harness.World):
-    """Checks at each sending that the claim was rightly granted."""
+class CheckedSimulation(harness.Simulation):
+    """Checks at each sent request that its claim was granted correctly."""
 
     def __init__(self):
         super().__init__()
-        self.faults = []  # Failed checks in threads.
+        self.violations = []  # Checks that failed, in any thread.
 
     def list_runs(self, key):
-        """Returns the key's runs that its record must still know."""
+        """Returns the key's runs within the retention time."""
         since = self.clock.wall() - RETENTION_S
         return [run for run in self.runs if run.key == key and run.at > since]
 
-    def send(self, key, request, sending):
+    def send(self, key, request, delivery):
         if self.list_runs(key):
-            self.faults.append(f"a second claim of {key.key} was granted")
-        return super().send(key, request, sending)
+            self.violations.append(f"a second claim of {key.key} was granted")
+        return super().send(key, request, delivery)
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.world = CheckedWorld()
+        self.simulation = CheckedSimulation()
         self.instances = {name: self.start(name) for name in NAMES}
         self.jobs = []
         self.crashed = False
 
     def start(self, name):
-        instance = self.world.start(name)
+        instance = self.simulation.start(name)
         instance.choose_fault = choose_fault
         return instance
 
@@ -98,17 +101,17 @@
         name=strategies.sampled_from(NAMES),
         key=strategies.sampled_from([KEYS[0], *KEYS]),
         request=strategies.sampled_from(REQUESTS),
-        sending=strategies.sampled_from(
-            [harness.Sending.RUN] * 3 + list(harness.Sending)
+        delivery=strategies.sampled_from(
+            [harness.Delivery.RUN] * 3 + list(harness.Delivery)
         ),
     )
-    def submit(self, name, key, request, sending):
+    def submit(self, name, key, request, delivery):
         instance = self.instances[name]
 
         def work():
-            verdict = instance.submit(key, request, sending)
-            self.check(key, request, verdict)
-            return verdict
+            outcome = instance.submit(key, request, delivery)
+            self.check(key, request, outcome)
+            return outcome
 
         self.add(Job(instance, work))
 
@@ -121,7 +124,7 @@
         self.add(Job(instance, lambda: instance.ledger.sweep(removals)))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def settle(self, name):
+    def retry_deferred(self, name):
         instance = self.instances[name]
         self.add(Job(instance, instance.ledger.retry_deferred))
 
@@ -136,12 +139,12 @@
             max_size=3,
         ),
     )
-    def go_on(self, number, faults):
+    def run_steps(self, number, faults):
         job = self.jobs[number % len(self.jobs)]
         for fault in faults:
             if not job.ended:
                 job.step(fault)
-        self.forget_ended()
+        self.remove_ended()
 
     @stateful.precondition(lambda self: self.jobs)
     @stateful.rule(number=strategies.integers(0, 7))
@@ -149,98 +152,100 @@
         job = self.jobs[number % len(self.jobs)]
         while not job.ended:
             job.step(harness.Fault.NONE)
-        self.forget_ended()
+        self.remove_ended()
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def outlast(self, name):
-        """Every record ends and expires, whoever still holds it."""
-        self.world.clock.advance(harness.LIMITS.longest_run_s)
+    def expire_records(self, name):
+        """Lets every record close and expire, even those with a live owner."""
+        self.simulation.clock.advance(harness.LIMITS.longest_run_s)
         if not self.instances[name].dead:
             self.instances[name].ledger.sweep(0)
             self.instances[name].ledger.sweep(0)
-        self.world.clock.advance(RETENTION_S)
+        self.simulation.clock.advance(RETENTION_S)
 
     @stateful.rule(
         seconds=strategies.sampled_from([1.0, 450.0, 950.0, RETENTION_S])
     )
     def advance(self, seconds):
-        self.world.clock.advance(seconds)
+        self.simulation.clock.advance(seconds)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def suspect(self, name):
-        """Membership calls it gone, rightly or not."""
+    def report_ended(self, name):
+        """Lets the membership report the process as ended, correctly or not."""
         owner = self.instances[name].owner
-        self.world.gone.add((owner.instance, owner.incarnation))
+        self.simulation.ended.add((owner.instance, owner.incarnation))
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
-    def replace(self, name):
-        """Ends the instance, unless it has ended, and starts it again."""
+    def restart(self, name):
+        """Ends the instance, if it is running, and starts it again."""
         self.instances[name].dead = True
         self.crashed = True
         self.instances[name] = self.start(name)
 
     @stateful.invariant()
-    def nothing_ran_twice(self):
-        assert self.world.faults == []
+    def no_key_ran_twice(self):
+        assert self.simulation.violations == []
         for key in KEYS:
-            times = [run.at for run in self.world.runs if run.key == key]
+            times = [run.at for run in self.simulation.runs if run.key == key]
             for earlier, later in itertools.pairwise(times):
                 assert later - earlier >= RETENTION_S
 
     def add(self, job):
         self.jobs.append(job)
-        self.forget_ended()
+        self.remove_ended()
 
-    def forget_ended(self):
+    def remove_ended(self):
         self.crashed |= any(job.instance.dead for job in self.jobs)
         self.jobs = [job for job in self.jobs if not job.ended]
 
-    def check(self, key, request, verdict):
-        """Compares what a caller is told with what ran."""
+    def check(self, key, request, outcome):
+        """Compares the response to a client with the actual runs."""
         ran = [
             run
-            for run in self.world.runs
+            for run in self.simulation.runs
             if (run.key, run.request) == (key, request)
         ]
-        if isinstance(verdict, errors.Replay):
-            wrong = verdict.answer.body not in [run.answer for run in ran]
-        elif isinstance(verdict, errors.KeyReused):
-            wrong = any(run in ran for run in self.world.list_runs(key))
-        elif isinstance(verdict, errors.LedgerRefusal):
-            wrong = verdict.outcome is failures.Outcome.DONE and not ran
+        if isinstance(outcome, errors.Replay):
+            wrong = outcome.answer.body not in [run.answer for run in ran]
+        elif isinstance(outcome, errors.KeyReused):
+            wrong = any(run in ran for run in self.simulation.list_runs(key))
+        elif isinstance(outcome, errors.LedgerRefusal):
+            wrong = outcome.outcome is failures.Outcome.DONE and not ran
         else:
-            wrong = verdict is harness.Told.DONE and not ran
+            wrong = outcome is harness.ToldOutcome.DONE and not ran
         if wrong:
-            self.world.faults.append(f"told {verdict!r}, but ran: {ran}")
+            self.simulation.violations.append(
+                f"told {outcome!r}, but ran: {ran}"
+            )
 
     def teardown(self):
-        """Heals everything: each key must then have a lasting answer."""
+        """Ends all jobs without faults; each key must get a final result."""
         while self.jobs:
             self.jobs[0].step(harness.Fault.NONE)
-            self.forget_ended()
-        self.nothing_ran_twice()
+            self.remove_ended()
+        self.no_key_ran_twice()
         for instance in self.instances.values():
             if not instance.dead:
                 assert instance.ledger.retry_deferred() == 0
         alive = {i.owner for i in self.instances.values() if not i.dead}
-        self.world.is_gone = lambda *owner: (
+        self.simulation.is_gone = lambda *owner: (
             not any(owner == (one.instance, one.incarnation) for one in alive)
         )
         for key in KEYS:
-            self.check_lasting(key)
-        self.nothing_ran_twice()
+            self.check_final(key)
+        self.no_key_ran_twice()
 
-    def check_lasting(self, key):
-        ran = self.world.list_runs(key)
+    def check_final(self, key):
+        ran = self.simulation.list_runs(key)
         request = ran[-1].request if ran else REQUESTS[0]
         last = self.start("entry-4")
-        verdict = last.submit(key, request)
-        self.check(key, request, verdict)
-        lasting = {"DONE", "Replay", "UnknownOutcome", "KeyReused"}
+        outcome = last.submit(key, request)
+        self.check(key, request, outcome)
+        final = {"DONE", "Replay", "UnknownOutcome", "KeyReused"}
         if self.crashed:
-            lasting |= {"AnswerUnavailable", "AnswerNotKept"}
-        assert harness.name_verdict(verdict) in lasting
-        assert not ran or verdict is not harness.Told.DONE
+            final |= {"AnswerUnavailable", "AnswerNotKept"}
+        assert harness.get_result_name(outcome) in final
+        assert not ran or outcome is not harness.ToldOutcome.DONE
 
 
 TestAtMostOnce = AtMostOnce.TestCase
--- a/pollenfork/ledger/tests/test_faults.py
+++ b/pollenfork/ledger/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault table: one fault at one step, then the repeat's answer."""
+"""One fault at one step of a request, and the responses to its retries."""
 
 import random
 
@@ -16,33 +16,37 @@
 
 KEY = keys.RequestKey("settlement", "meter-7-2026-11")
 Fault = harness.Fault
-Sending = harness.Sending
+Delivery = harness.Delivery
 
-# The steps of a request that runs: platform calls, and points between them.
+# The steps of a request: platform calls, and the points before and after the
+# request is sent.
 CLAIM, BEFORE_SEND, AFTER_RUN, STORE, RECORD = range(5)
 
 
 @pytest.fixture
-def world():
-    return harness.World()
+def simulation():
+    return harness.Simulation()
 
 
-def script(instance, step, fault):
-    """Lets `fault` happen at the step of that number."""
+def inject_fault(instance, step, fault):
+    """Injects `fault` at the given step."""
     faults = iter([Fault.NONE] * step + [fault])
     instance.choose_fault = lambda: next(faults, Fault.NONE)
 
 
-def heal(instance):
+def clear_faults(instance):
     instance.choose_fault = lambda: Fault.NONE
 
 
-def repeat(world, sending=Sending.RUN, name="entry-2"):
-    return harness.name_verdict(world.start(name).submit(KEY, sending=sending))
+def retry(simulation, delivery=Delivery.RUN, name="entry-2"):
+    return harness.get_result_name(
+        simulation.start(name).submit(KEY, delivery=delivery)
+    )
 
 
 CRASHES = [
-    # step, fault, repeat at once, repeat once the owner is gone, all runs
+    # step, fault, result of an immediate retry, result of a retry once the
+    # owner is known to have ended, number of runs
     (CLAIM, Fault.CRASH_BEFORE, "DONE", "Replay", 1),
     (CLAIM, Fault.CRASH_AFTER, "Running", "UnknownOutcome", 0),
     (BEFORE_SEND, Fault.CRASH_BEFORE, "Running", "UnknownOutcome", 0),
@@ -54,41 +58,44 @@
 ]
 
 
-def know_by_membership(world, owner):
-    world.gone.add((owner.instance, owner.incarnation))
+def learn_by_membership(simulation, owner):
+    simulation.ended.add((owner.instance, owner.incarnation))
 
 
-def know_by_age(world, owner):
-    world.clock.advance(harness.LIMITS.longest_run_s)
+def learn_by_age(simulation, owner):
+    simulation.clock.advance(harness.LIMITS.longest_run_s)
 
 
-def know_by_restart(world, owner):
-    """The repeat comes to a later incarnation of the owner itself."""
+def learn_by_restart(simulation, owner):
+    """The retry goes to a later incarnation of the owner itself."""
 
 
 @pytest.mark.parametrize(("step", "fault", "at_once", "later", "runs"), CRASHES)
 @pytest.mark.parametrize(
-    ("learn", "asked"),
+    ("learn", "retry_instance"),
     [
-        (know_by_membership, "entry-2"),
-        (know_by_age, "entry-2"),
-        (know_by_restart, "entry-1"),
+        (learn_by_membership, "entry-2"),
+        (learn_by_age, "entry-2"),
+        (learn_by_restart, "entry-1"),
     ],
 )
 def test_a_crash_never_leads_to_a_second_run(
-    world, step, fault, at_once, later, runs, learn, asked
+    simulation, step, fault, at_once, later, runs, learn, retry_instance
 ):
-    first = world.start("entry-1")
-    script(first, step, fault)
+    first = simulation.start("entry-1")
+    inject_fault(first, step, fault)
     assert first.submit_until_crash(KEY) is None
-    assert repeat(world) == at_once
-    learn(world, first.owner)
-    assert [repeat(world, name=asked) for _ in range(3)] == [later] * 3
-    assert world.count_runs(KEY) == runs
+    assert retry(simulation) == at_once
+    learn(simulation, first.owner)
+    assert [retry(simulation, name=retry_instance) for _ in range(3)] == [
+        later
+    ] * 3
+    assert simulation.count_runs(KEY) == runs
 
 
 LOSSES = [
-    # step, fault, told, repeat at once, repeat once settled, all runs
+    # step, fault, result, result of an immediate retry, result of a retry
+    # after the deferred writes, number of runs
     (CLAIM, Fault.DOWN, "LedgerDown", "DONE", "Replay", 1),
     (CLAIM, Fault.THROTTLED, "LedgerDown", "DONE", "Replay", 1),
     (CLAIM, Fault.LOST_BEFORE, "LedgerDown", "DONE", "Replay", 1),
@@ -107,107 +114,114 @@
 @pytest.mark.parametrize(
     ("step", "fault", "told", "at_once", "settled", "runs"), LOSSES
 )
-def test_the_platform_fails_once(
-    world, step, fault, told, at_once, settled, runs
+def test_one_platform_failure_leads_to_one_run(
+    simulation, step, fault, told, at_once, settled, runs
 ):
-    first = world.start("entry-1")
-    script(first, step, fault)
-    assert harness.name_verdict(first.submit(KEY)) == told
-    assert repeat(world) == at_once
+    first = simulation.start("entry-1")
+    inject_fault(first, step, fault)
+    assert harness.get_result_name(first.submit(KEY)) == told
+    assert retry(simulation) == at_once
     assert first.ledger.retry_deferred() == 0
-    assert repeat(world) == settled
-    assert world.count_runs(KEY) == runs
+    assert retry(simulation) == settled
+    assert simulation.count_runs(KEY) == runs
 
 
 @pytest.mark.parametrize(("step", "fault"), [row[:2] for row in LOSSES])
-def test_the_policy_hides_one_failure(world, step, fault):
-    first = world.start("entry-1")
-    tools = policy.Dependencies(
-        now=world.clock, rng=random.Random(5), wait=world.clock.advance
+def test_the_call_policy_hides_one_failure(simulation, step, fault):
+    first = simulation.start("entry-1")
+    deps = policy.Dependencies(
+        now=simulation.clock,
+        rng=random.Random(5),
+        wait=simulation.clock.advance,
     )
-    wire = [
-        harness.Wire(first, first.platform.table),
-        harness.Wire(first, first.platform.objects),
+    services = [
+        harness.StepwiseService(first, first.platform.table),
+        harness.StepwiseService(first, first.platform.objects),
     ]
     first.ledger = first.make_ledger(
-        policy.ResilientTable(wire[0], policy.CallPolicy("table", tools, None)),
+        policy.ResilientTable(
+            services[0], policy.CallPolicy("table", deps, None)
+        ),
         policy.ResilientObjects(
-            wire[1], policy.CallPolicy("objects", tools, None)
+            services[1], policy.CallPolicy("objects", deps, None)
         ),
     )
-    script(first, step, fault)
-    assert harness.name_verdict(first.submit(KEY)) == "DONE"
-    assert repeat(world) == "Replay"
-    assert world.count_runs(KEY) == 1
+    inject_fault(first, step, fault)
+    assert harness.get_result_name(first.submit(KEY)) == "DONE"
+    assert retry(simulation) == "Replay"
+    assert simulation.count_runs(KEY) == 1
 
 
 @pytest.mark.parametrize(
-    ("sending", "told", "again", "runs"),
+    ("delivery", "told", "again", "runs"),
     [
-        (Sending.RUN, "DONE", "Replay", 1),
-        (Sending.REFUSED, "NOT_RUN", "DONE", 1),
-        (Sending.CUT_BEFORE, "UNKNOWN", "UnknownOutcome", 0),
-        (Sending.CUT_AFTER, "UNKNOWN", "UnknownOutcome", 1),
+        (Delivery.RUN, "DONE", "Replay", 1),
+        (Delivery.REFUSED, "NOT_RUN", "DONE", 1),
+        (Delivery.CUT_BEFORE, "UNKNOWN", "UnknownOutcome", 0),
+        (Delivery.CUT_AFTER, "UNKNOWN", "UnknownOutcome", 1),
     ],
 )
-def test_the_outcome_decides_the_repeat(world, sending, told, again, runs):
-    assert repeat(world, sending, "entry-1") == told
-    assert repeat(world) == again
-    assert world.count_runs(KEY) == runs
+def test_the_outcome_decides_the_response_to_a_retry(
+    simulation, delivery, told, again, runs
+):
+    assert retry(simulation, delivery, "entry-1") == told
+    assert retry(simulation) == again
+    assert simulation.count_runs(KEY) == runs
 
 
-def test_a_repeat_while_running_waits_and_one_after_is_replayed(world):
-    first, verdicts = world.start("entry-1"), []
+def test_a_retry_gets_running_at_first_and_the_stored_answer_later(simulation):
+    first, results = simulation.start("entry-1"), []
 
     def submit_meanwhile():
-        if not verdicts:
-            verdicts.append(None)  # The claim's own write.
-        elif world.start("entry-2"):
+        if not results:
+            results.append(None)  # The write of the claim itself.
+        elif simulation.start("entry-2"):
             first.choose_fault = lambda: Fault.NONE
-            verdicts.append(first.submit(KEY))
-            verdicts.append(world.start("entry-2").submit(KEY))
+            results.append(first.submit(KEY))
+            results.append(simulation.start("entry-2").submit(KEY))
         return Fault.NONE
 
     first.choose_fault = submit_meanwhile
-    assert first.submit(KEY) is harness.Told.DONE
-    for verdict in verdicts[1:]:
-        assert type(verdict) is errors.Running
-        assert verdict.retry_after_s > 0
-    replayed = world.start("entry-2").submit(KEY)
+    assert first.submit(KEY) is harness.ToldOutcome.DONE
+    for claim_result in results[1:]:
+        assert type(claim_result) is errors.Running
+        assert claim_result.retry_after_s > 0
+    replayed = simulation.start("entry-2").submit(KEY)
     assert replayed.answer == records.Answer(
-        200, (("X-Run", "1"),), world.runs[0].answer
+        200, (("X-Run", "1"),), simulation.runs[0].answer
     )
 
 
 def test_another_request_under_the_key_is_refused_until_the_key_is_free(
-    world,
+    simulation,
 ):
-    first = world.start("entry-1")
+    first = simulation.start("entry-1")
     first.submit(KEY, b"a")
     reused = first.submit(KEY, b"b")
     assert type(reused) is errors.KeyReused
     assert reused.outcome is failures.Outcome.NOT_RUN
-    world.clock.advance(harness.LIMITS.retention_s)
-    assert first.submit(KEY, b"b") is harness.Told.DONE
+    simulation.clock.advance(harness.LIMITS.retention_s)
+    assert first.submit(KEY, b"b") is harness.ToldOutcome.DONE
     other = keys.RequestKey("treasury", KEY.key)
-    assert first.submit(other, b"c") is harness.Told.DONE
+    assert first.submit(other, b"c") is harness.ToldOutcome.DONE
 
 
 @pytest.mark.parametrize("state", ["claimed", "done"])
-def test_the_platform_is_down_for_a_repeat(world, state):
-    """The record is seen to exist, or nothing is known: never "not run"."""
+def test_a_retry_while_the_platform_is_down(simulation, state):
+    """The write conflicts, so a record exists: never "not run"."""
     if state == "done":
-        world.start("entry-1").submit(KEY)
+        simulation.start("entry-1").submit(KEY)
     else:
-        crashed = world.start("entry-1")
-        script(crashed, BEFORE_SEND, Fault.CRASH_BEFORE)
+        crashed = simulation.start("entry-1")
+        inject_fault(crashed, BEFORE_SEND, Fault.CRASH_BEFORE)
         crashed.submit_until_crash(KEY)
-    second = world.start("entry-2")
-    script(second, 1, Fault.DOWN)  # After the refused write, the read.
+    second = simulation.start("entry-2")
+    # The read that follows the conflicting write.
+    inject_fault(second, 1, Fault.DOWN)
     refused = second.submit(KEY)
     assert type(refused) is errors.LedgerDown
     assert refused.outcome is failures.Outcome.UNKNOWN
-    script(second, 2, Fault.DOWN)  # The object store.
+    inject_fault(second, 2, Fault.DOWN)  # The object store.
     refused = second.submit(KEY)
     if state == "done":
         assert type(refused) is errors.AnswerUnavailable
@@ -216,90 +230,92 @@
         assert type(refused) is errors.Running
 
 
-def test_the_owner_corrects_a_record_that_others_closed_too_early(world):
-    first = world.start("entry-1")
+def test_the_owner_corrects_a_record_that_others_closed_too_early(simulation):
+    first = simulation.start("entry-1")
     seen = []
 
     def suspect():
         if len(seen) == AFTER_RUN:
-            know_by_membership(world, first.owner)
-            seen.append(repeat(world))
+            learn_by_membership(simulation, first.owner)
+            seen.append(retry(simulation))
         else:
             seen.append(None)
         return Fault.NONE
 
     first.choose_fault = suspect
-    assert first.submit(KEY) is harness.Told.DONE
+    assert first.submit(KEY) is harness.ToldOutcome.DONE
     assert seen[AFTER_RUN] == "UnknownOutcome"
-    assert repeat(world) == "Replay"
-    assert world.count_runs(KEY) == 1
+    assert retry(simulation) == "Replay"
+    assert simulation.count_runs(KEY) == 1
 
 
 @pytest.mark.parametrize("pause_s", [899.0, 900.0, 90_000.0])
-def test_a_holder_that_was_paused_too_long_does_not_send(world, pause_s):
-    first = world.start("entry-1")
+def test_a_claim_holder_that_was_paused_too_long_does_not_send(
+    simulation, pause_s
+):
+    first = simulation.start("entry-1")
     steps = []
 
     def pause():
         steps.append(None)
         if len(steps) == BEFORE_SEND + 1:
-            world.clock.advance(pause_s)
+            simulation.clock.advance(pause_s)
         return Fault.NONE
 
     first.choose_fault = pause
     sent = pause_s < harness.LIMITS.longest_run_s
-    expected = harness.Told.DONE if sent else harness.Told.NOT_RUN
+    expected = harness.ToldOutcome.DONE if sent else harness.ToldOutcome.NOT_RUN
     assert first.submit(KEY) is expected
-    assert world.count_runs(KEY) == sent
+    assert simulation.count_runs(KEY) == sent
 
 
-def test_a_caller_who_raises_leaves_an_unknown_outcome(world):
-    first = world.start("entry-1")
-    verdict = first.ledger.claim(KEY, b"f", world.clock.wall())
-    with pytest.raises(ZeroDivisionError), verdict.unwrap():
+def test_a_caller_who_raises_leaves_an_unknown_outcome(simulation):
+    first = simulation.start("entry-1")
+    claim_result = first.ledger.claim(KEY, b"f", simulation.clock.wall())
+    with pytest.raises(ZeroDivisionError), claim_result.unwrap():
         _ = 1 // 0
-    again = first.ledger.claim(KEY, b"f", world.clock.wall()).unwrap_err()
+    again = first.ledger.claim(KEY, b"f", simulation.clock.wall()).unwrap_err()
     assert type(again) is errors.UnknownOutcome
 
 
-def test_only_the_first_ending_counts(world):
-    first = world.start("entry-1")
-    claim = first.ledger.claim(KEY, b"f", world.clock.wall()).unwrap()
+def test_only_the_first_recorded_outcome_counts(simulation):
+    first = simulation.start("entry-1")
+    claim = first.ledger.claim(KEY, b"f", simulation.clock.wall()).unwrap()
     claim.record_unknown()
     claim.record_not_run()
     assert not claim.may_send()
-    again = first.ledger.claim(KEY, b"f", world.clock.wall()).unwrap_err()
+    again = first.ledger.claim(KEY, b"f", simulation.clock.wall()).unwrap_err()
     assert type(again) is errors.UnknownOutcome
 
 
-def test_an_answer_too_large_is_done_but_not_kept(world):
-    first = world.start("entry-1")
-    claim = first.ledger.claim(KEY, b"f", world.clock.wall()).unwrap()
+def test_an_answer_that_is_too_large_is_not_stored(simulation):
+    first = simulation.start("entry-1")
+    claim = first.ledger.claim(KEY, b"f", simulation.clock.wall()).unwrap()
     claim.record_done(200, [], b"x" * (harness.LIMITS.answer_bytes + 1))
-    again = first.ledger.claim(KEY, b"f", world.clock.wall()).unwrap_err()
+    again = first.ledger.claim(KEY, b"f", simulation.clock.wall()).unwrap_err()
     assert type(again) is errors.AnswerNotKept
     assert again.outcome is failures.Outcome.DONE
 
 
-def test_a_late_insert_can_not_open_a_record_that_was_disowned(world):
-    """The write was lost, is disowned, and arrives afterwards."""
-    first, late = world.start("entry-1"), []
+def test_a_late_write_does_not_claim_a_key_that_was_freed(simulation):
+    """The claim's write is lost, its key is freed, then the write arrives."""
+    first, late = simulation.start("entry-1"), []
     commit = first.platform.table.commit
     first.platform.table.commit = lambda sent: late.append(sent) or commit(sent)
-    script(first, CLAIM, Fault.LOST_BEFORE)
+    inject_fault(first, CLAIM, Fault.LOST_BEFORE)
     first.submit(KEY)
-    heal(first)
+    clear_faults(first)
     assert first.ledger.retry_deferred() == 0
     assert commit(late[0]).is_err()
-    assert repeat(world) == "DONE"
+    assert retry(simulation) == "DONE"
 
 
-def test_a_record_of_a_later_version_is_left_alone(world):
-    first = world.start("entry-1")
+def test_a_record_of_a_later_version_is_not_changed(simulation):
+    first = simulation.start("entry-1")
     first.submit(KEY)
     row = first.platform.table.read(KEY.row).unwrap()
-    world.state.commit(make_write(row.key, b"\x02later"), 0.0)
-    assert repeat(world) == "UnknownOutcome"
+    simulation.state.commit(make_write(row.key, b"\x02later"), 0.0)
+    assert retry(simulation) == "UnknownOutcome"
     assert first.ledger.sweep(10).unreadable == 1
 
 
@@ -307,24 +323,26 @@
     return edges.Transaction("w", (edges.Put(key, value),))
 
 
-def test_an_outage_keeps_endings_within_bounds(world):
-    first = world.start("entry-1")
+def test_an_outage_does_not_exceed_the_bounds_of_deferred_writes(simulation):
+    first = simulation.start("entry-1")
     claims = [
         first.ledger.claim(
-            keys.RequestKey("a", str(number)), b"f", world.clock.wall()
+            keys.RequestKey("a", str(number)), b"f", simulation.clock.wall()
         ).unwrap()
         for number in range(600)
     ]
     first.choose_fault = lambda: Fault.DOWN
     for claim in claims:
         claim.record_done(200, [], b"x" * 10_000)
-    kept = outbox.MAX_BYTES // 10_008  # Eight bytes of framing each.
-    assert first.ledger.retry_deferred() == kept
-    assert first.events[ledger.Event.DROPPED] == 600 - kept
-    heal(first)
+    fitting = outbox.MAX_BYTES // 10_008  # Each has eight bytes of framing.
+    assert first.ledger.retry_deferred() == fitting
+    assert first.events[ledger.Event.DROPPED] == 600 - fitting
+    clear_faults(first)
     assert first.ledger.retry_deferred() == 0
-    verdicts = [
-        type(first.ledger.claim(key, b"f", world.clock.wall()).unwrap_err())
+    results = [
+        type(
+            first.ledger.claim(key, b"f", simulation.clock.wall()).unwrap_err()
+        )
         for key in (keys.RequestKey("a", "0"), keys.RequestKey("a", "599"))
     ]
-    assert verdicts == [errors.UnknownOutcome, errors.Replay]
+    assert results == [errors.UnknownOutcome, errors.Replay]
