--- a/pollenfork/store/tests/test_policy.py
+++ b/pollenfork/store/tests/test_policy.py
@@ -119,9 +119,9 @@
 
 def test_a_transaction_is_retried_under_the_same_write_id():
     harness, table = PolicyHarness(), LossyTable()
-    guarded = policy.ResilientTable(table, harness.policy)
+    resilient_table = policy.ResilientTable(table, harness.policy)
     sent = edges.Transaction(ids.WriteId("w"), (edges.Put("k", b"v", 0),))
-    assert guarded.commit(sent).is_ok()
+    assert resilient_table.commit(sent).is_ok()
     assert table.seen == [sent] * 3
 
 
