--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -14,8 +14,8 @@
 from pollenfork import clock
 from pollenfork import ids
 from pollenfork import metrics
-from pollenfork.entry import journal
 from pollenfork.entry import progress
+from pollenfork.entry import request_log
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "accounting.json"
 ROUNDS = 5
@@ -49,8 +49,8 @@
 
 
 def _make_requests() -> Callable[[], None]:
-    counted = journal.Journal(
-        metrics.Metrics(), clock.SystemClock(), journal.make_request_id
+    counted = request_log.RequestLogFactory(
+        metrics.Metrics(), clock.SystemClock(), request_log.make_request_id
     )
 
     def work() -> None:
@@ -72,8 +72,10 @@
     def work() -> None:
         chunks: Iterable[bytes] = iter(events)
         if watched:
-            seen = progress.Watched(chunks, lambda: None, lambda ended: None)
-            chunks = progress.Handover(seen, lambda: None)
+            seen = progress.ObservedChunks(
+                chunks, lambda: None, lambda ended: None
+            )
+            chunks = progress.CloseOnceChunks(seen, lambda: None)
         for _ in chunks:
             pass
 
--- a/benchmarks/relay_servers.py
+++ b/benchmarks/relay_servers.py
@@ -19,8 +19,8 @@
 from pollenfork.answers import session
 from pollenfork.dispatch import messages as dispatch_messages
 from pollenfork.entry import replies
+from pollenfork.entry import request_handler
 from pollenfork.entry import server as entry_server
-from pollenfork.entry import work
 from tests import sites
 
 _HOST = "127.0.0.1"
@@ -110,7 +110,7 @@
             endpoint=ids.EndpointId("engine"),
             address=f"{_HOST}:{engine}",
         )
-        caller = environ[work.CALLER]
+        caller = environ[request_handler.CALLER_KEY]
         opened = relay.open(call, grant, caller).unwrap()
         start_response(f"{opened.status} OK", opened.headers)
         return opened.chunks
@@ -123,7 +123,7 @@
         platform="",
     )
     server = entry_server.create_server(
-        answer, settings, replies.write_refusal, clock.SystemClock()
+        answer, settings, replies.make_refusal, clock.SystemClock()
     )
     _announce(int(server.effective_port))
     server.run()
--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -25,8 +25,8 @@
 from pollenfork.endpoints import actor as endpoints_actor
 from pollenfork.endpoints import client as endpoints_client
 from pollenfork.entry import front
+from pollenfork.entry import request_handler
 from pollenfork.entry import server
-from pollenfork.entry import work
 from pollenfork.ledger import claiming
 from pollenfork.ledger import ledger
 from pollenfork.ledger import sweeping
@@ -304,7 +304,7 @@
         exposition.register_relay(self.metrics, self._relay.counters)
         exposition.register_scheduler(self.metrics, self._scheduler)
         exposition.register_peers(self.metrics, self.membership.count_failures)
-        worker = work.Worker(
+        worker = request_handler.RequestHandler(
             self._scheduler,
             self._relay,
             self._clock,
--- a/pollenfork/entry/asks.py
+++ b/pollenfork/entry/admission_asks.py
@@ -4,18 +4,18 @@
 
 from pollenfork import ids
 from pollenfork.admission import messages
-from pollenfork.entry import journal
 from pollenfork.entry import request
+from pollenfork.entry import request_log
 from pollenfork.settings import model
 from pollenfork.settings import snapshot
 
 _MS = 1000
 
 
-def ask_for_model(
+def make_model_ask(
     identity: request.Identity,
     lookups: snapshot.Snapshot,
-    record: journal.Record,
+    record: request_log.RequestLog,
     prompt: request.Prompt,
 ) -> messages.Ask:
     """Returns what a completion asks for."""
@@ -28,10 +28,10 @@
     )
 
 
-def ask_for_service(
+def make_service_ask(
     identity: request.Identity,
     lookups: snapshot.Snapshot,
-    record: journal.Record,
+    record: request_log.RequestLog,
     service: ids.ServiceName,
     idempotent: bool,
 ) -> messages.Ask:
@@ -47,7 +47,7 @@
 def _describe_class(
     identity: request.Identity,
     lookups: snapshot.Snapshot,
-    record: journal.Record,
+    record: request_log.RequestLog,
 ) -> dict[str, Any]:
     chosen = identity.service_class
     caller = identity.caller
--- a/pollenfork/entry/errors.py
+++ b/pollenfork/entry/errors.py
@@ -78,7 +78,7 @@
     error: _ErrorBody
 
 
-def write_body(refusal: Refusal) -> bytes:
+def encode_body(refusal: Refusal) -> bytes:
     """Returns the refusal in OpenAI's error shape."""
     kind = "server_error"
     if refusal.status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -110,7 +110,7 @@
 _LIMITED = (_Reason.ACCOUNT_LIMIT, _Reason.TEAM_LIMIT)
 
 
-def describe_refused(refused: admission_messages.Refused) -> Refusal:
+def make_admission_refusal(refused: admission_messages.Refused) -> Refusal:
     """Returns what the caller is told when the scheduler refuses."""
     status = http.HTTPStatus.SERVICE_UNAVAILABLE
     code = Code.OVERLOADED
--- a/pollenfork/entry/front.py
+++ b/pollenfork/entry/front.py
@@ -16,11 +16,11 @@
 from pollenfork import metrics
 from pollenfork.answers import session
 from pollenfork.entry import errors
-from pollenfork.entry import journal
 from pollenfork.entry import progress
 from pollenfork.entry import replies
 from pollenfork.entry import request
-from pollenfork.entry import work
+from pollenfork.entry import request_handler
+from pollenfork.entry import request_log
 from pollenfork.settings import snapshot
 
 _LOG = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        worker: work.Worker,
+        worker: request_handler.RequestHandler,
         counters: metrics.Metrics,
         read_lookups: Callable[[], snapshot.Snapshot | None],
         is_ready: Callable[[], bool],
@@ -74,10 +74,10 @@
         self._is_ready = is_ready
         self._operator = operator
         self.in_progress = progress.InProgress()
-        self.journal = journal.Journal(
+        self.journal = request_log.RequestLogFactory(
             counters,
             now or clock.SystemClock(),
-            make_request_id or journal.make_request_id,
+            make_request_id or request_log.make_request_id,
         )
         self._small: dict[str, Callable[[Environ], _Small]] = {
             "/healthz": self._report_health,
@@ -96,15 +96,17 @@
         except BaseException:
             self.in_progress.leave()
             raise
-        return progress.Handover(chunks, self.in_progress.leave)
+        return progress.CloseOnceChunks(chunks, self.in_progress.leave)
 
     def write_refusal(
-        self, refusal: errors.Refusal, record: journal.Record | None = None
+        self,
+        refusal: errors.Refusal,
+        record: request_log.RequestLog | None = None,
     ) -> replies.Reply:
         """Counts and logs a refusal and returns what the caller gets."""
         record = record or self.journal.begin()
         record.note_refused(refusal)
-        reply = replies.write_refusal(refusal)
+        reply = replies.make_refusal(refusal)
         reply.headers.append(("X-Request-Id", record.request))
         return reply
 
@@ -126,7 +128,7 @@
         self,
         environ: Environ,
         start_response: StartResponse,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> Iterable[bytes]:
         path = environ["PATH_INFO"]
         if path.startswith(_OPERATOR) and self._operator:
@@ -152,8 +154,8 @@
         return replies.send_reply(start_response, reply, method)
 
     def _serve_work(
-        self, environ: Environ, record: journal.Record
-    ) -> work.Served:
+        self, environ: Environ, record: request_log.RequestLog
+    ) -> request_handler.Served:
         lookups = self._read_lookups()
         if lookups is None or not self._is_ready():
             return result.Err(_make_not_ready())
@@ -168,16 +170,16 @@
         self,
         answer: session.Answer,
         start_response: StartResponse,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> Iterable[bytes]:
         headers = _list_headers(answer)
         headers.append(("X-Request-Id", record.request))
         try:
-            start_response(replies.write_status(answer.status), headers)
+            start_response(replies.format_status(answer.status), headers)
         except BaseException:
             progress.close_chunks(answer.chunks)
             raise
-        return progress.Watched(
+        return progress.ObservedChunks(
             answer.chunks,
             record.note_first,
             functools.partial(record.note_end, answer.status),
@@ -200,14 +202,14 @@
 
     def _report_health(self, environ: Environ) -> _Small:
         del environ
-        return result.Ok(replies.write_text(http.HTTPStatus.OK, "ok"))
+        return result.Ok(replies.make_text(http.HTTPStatus.OK, "ok"))
 
     def _report_ready(self, environ: Environ) -> _Small:
         del environ
         status, text = http.HTTPStatus.SERVICE_UNAVAILABLE, "not ready"
         if self._is_ready() and self._read_lookups():
             status, text = http.HTTPStatus.OK, "ready"
-        return result.Ok(replies.write_text(status, text))
+        return result.Ok(replies.make_text(status, text))
 
     def _report_metrics(self, environ: Environ) -> _Small:
         del environ
@@ -220,7 +222,7 @@
         if names.is_err():
             return result.Err(names.unwrap_err())
         listed = _ModelList(data=[_Model(id=n) for n in names.unwrap()])
-        return result.Ok(replies.write_json(listed))
+        return result.Ok(replies.make_json(listed))
 
     def _show_model(self, environ: Environ) -> _Small:
         names = self._read_models(environ)
@@ -228,8 +230,8 @@
             return result.Err(names.unwrap_err())
         name = environ["PATH_INFO"][len(_MODELS) + 1 :]
         if name not in names.unwrap():
-            return work.refuse_model(name)
-        return result.Ok(replies.write_json(_Model(id=name)))
+            return request_handler.refuse_model(name)
+        return result.Ok(replies.make_json(_Model(id=name)))
 
     def _read_models(
         self, environ: Environ
@@ -240,7 +242,9 @@
         authenticated = request.authenticate(environ, lookups)
         if authenticated.is_err():
             return result.Err(authenticated.unwrap_err())
-        return result.Ok(work.list_models(lookups.tree.root.endpoints))
+        return result.Ok(
+            request_handler.list_models(lookups.tree.root.endpoints)
+        )
 
 
 class _Model(msgspec.Struct, frozen=True, kw_only=True):
--- a/pollenfork/entry/keyed.py
+++ b/pollenfork/entry/idempotency.py
@@ -84,7 +84,7 @@
         """Claims the right to run the request under `key`; blocks."""
 
 
-class Keyed:
+class IdempotencyGuard:
     """Runs requests under their callers' keys."""
 
     def __init__(self, claims: Claims | None, now: clock.Clock) -> None:
@@ -136,7 +136,7 @@
         return self._claims.claim(key, print_of, self._clock.wall())
 
 
-class KeyedChunks(Iterator[bytes]):
+class RecordedChunks(Iterator[bytes]):
     """An answer's bytes; they are kept for repeats once whole.
 
     The chunk that makes the answer whole is handed over after the outcome is
@@ -218,7 +218,7 @@
         answer = served.unwrap()
         # A refused stream comes as a plain answer.
         streamed = call.streamed and answer.status == http.HTTPStatus.OK
-        chunks = KeyedChunks(answer, claim, streamed)
+        chunks = RecordedChunks(answer, claim, streamed)
         return result.Ok(session.Answer(answer.status, answer.headers, chunks))
     if served.unwrap_err().outcome is failures.Outcome.NOT_RUN:
         claim.record_not_run()
--- a/pollenfork/entry/listener.py
+++ b/pollenfork/entry/listener.py
@@ -14,8 +14,8 @@
 from pollenfork.entry import refusal_task
 
 MAX_HEADER_BYTES = 32 * 1024
-RECEIVE_S = 60.0
-LINGER_S = 5.0
+RECEIVE_TIMEOUT_S = 60.0
+LINGER_TIMEOUT_S = 5.0
 _MAINTENANCE_S = 1
 
 
@@ -74,7 +74,7 @@
         """Refuses a request that has been arriving for `receive_s`."""
         lingering_since = self._lingering_since
         if lingering_since is not None:
-            self.will_close = now - lingering_since > LINGER_S
+            self.will_close = now - lingering_since > LINGER_TIMEOUT_S
             return
         with self.requests_lock:
             request = self.request
@@ -106,7 +106,7 @@
         app: Callable[..., Any],
         refuse: refusal_task.Refuse,
         now: clock.Clock,
-        receive_s: float = RECEIVE_S,
+        receive_s: float = RECEIVE_TIMEOUT_S,
         **adjustments: Any,
     ) -> None:
         """Binds the address.
--- a/pollenfork/entry/progress.py
+++ b/pollenfork/entry/progress.py
@@ -42,7 +42,7 @@
             return self._idle.wait_for(lambda: not self._count, timeout_s)
 
 
-class Watched:
+class ObservedChunks:
     """An answer's chunks; tells of the first one and of the end.
 
     Between the two nothing of this class runs.
@@ -96,7 +96,7 @@
         yield
 
 
-class Handover:
+class CloseOnceChunks:
     """A reply on its way to the server, closed exactly once.
 
     Attributes:
--- a/pollenfork/entry/refusal_task.py
+++ b/pollenfork/entry/refusal_task.py
@@ -21,7 +21,7 @@
     reason = http.HTTPStatus.REQUEST_TIMEOUT.phrase
 
 
-class Refused:
+class ServerRefusal:
     """The error of a request that the server refuses by its own limits."""
 
     def __init__(self, refusal: errors.Refusal) -> None:
@@ -54,7 +54,7 @@
         """Writes the refusal and ends the connection."""
         refusal = describe_error(self.request.error)
         reply = self.channel.server.refuse(refusal)
-        self.status = replies.write_status(reply.status)
+        self.status = replies.format_status(reply.status)
         self.response_headers.extend(reply.headers)
         self.set_close_on_finish()
         self.channel.refused = True
@@ -64,7 +64,7 @@
 
 def describe_error(error: Any) -> errors.Refusal:
     """Returns the refusal for an error of waitress's or the server's own."""
-    if isinstance(error, Refused):
+    if isinstance(error, ServerRefusal):
         return error.refusal
     status = http.HTTPStatus(int(error.code))
     code = _CODES.get(status)
--- a/pollenfork/entry/replies.py
+++ b/pollenfork/entry/replies.py
@@ -23,17 +23,17 @@
     body: bytes
 
 
-def write_text(status: http.HTTPStatus, text: str) -> Reply:
+def make_text(status: http.HTTPStatus, text: str) -> Reply:
     """Returns a reply of one line."""
     return Reply(status, [_TEXT], text.encode() + b"\n")
 
 
-def write_json(value: msgspec.Struct) -> Reply:
+def make_json(value: msgspec.Struct) -> Reply:
     """Returns a reply that gives `value`."""
     return Reply(http.HTTPStatus.OK, [_JSON], msgspec.json.encode(value))
 
 
-def write_refusal(refusal: errors.Refusal) -> Reply:
+def make_refusal(refusal: errors.Refusal) -> Reply:
     """Returns a refusal as callers get it."""
     headers = [_JSON, ("X-Outcome", refusal.outcome.value)]
     if refusal.retry_after_s is not None:
@@ -43,10 +43,10 @@
         headers.append(("Allow", ", ".join(refusal.allow)))
     if refusal.status is http.HTTPStatus.UNAUTHORIZED:
         headers.append(("WWW-Authenticate", "Bearer"))
-    return Reply(refusal.status, headers, errors.write_body(refusal))
+    return Reply(refusal.status, headers, errors.encode_body(refusal))
 
 
-def write_status(status: int) -> str:
+def format_status(status: int) -> str:
     """Returns the status as WSGI wants it: the number and its phrase."""
     try:
         return f"{status} {http.HTTPStatus(status).phrase}"
@@ -59,5 +59,5 @@
 ) -> list[bytes]:
     """Sends a small reply with its length; `more` is for the server."""
     headers = [*reply.headers, ("Content-Length", str(len(reply.body)))]
-    start_response(write_status(reply.status), headers, *more)
+    start_response(format_status(reply.status), headers, *more)
     return [] if method == "HEAD" else [reply.body]
--- a/pollenfork/entry/request.py
+++ b/pollenfork/entry/request.py
@@ -140,7 +140,7 @@
     return result.Ok(environ["wsgi.input"].read(length) if length else b"")
 
 
-def read_prompt(
+def parse_prompt(
     body: bytes, chat: bool
 ) -> result.Result[Prompt, errors.Refusal]:
     """Returns what the router needs of a completion request."""
--- a/pollenfork/entry/work.py
+++ b/pollenfork/entry/request_handler.py
@@ -16,16 +16,16 @@
 from pollenfork.answers import messages as answer_messages
 from pollenfork.answers import session
 from pollenfork.dispatch import messages as dispatch_messages
-from pollenfork.entry import asks
+from pollenfork.entry import admission_asks
 from pollenfork.entry import errors
-from pollenfork.entry import journal
-from pollenfork.entry import keyed
+from pollenfork.entry import idempotency
 from pollenfork.entry import request
+from pollenfork.entry import request_log
 from pollenfork.entry import target
 from pollenfork.settings import model
 from pollenfork.settings import snapshot
 
-CALLER = "pollenfork.caller"  # The caller's connection, in the environ.
+CALLER_KEY = "pollenfork.caller"  # The caller's connection, in the environ.
 
 _CHECK_CALLER_S = 0.25
 _MS = 1000
@@ -55,7 +55,7 @@
         """Asks for a slot."""
 
 
-class Worker:
+class RequestHandler:
     """Takes a request from its head to the answer's first byte."""
 
     def __init__(
@@ -64,7 +64,7 @@
         relay: session.Relay,
         now: clock.Clock,
         body_limit: int,
-        claims: keyed.Claims | None = None,
+        claims: idempotency.Claims | None = None,
     ) -> None:
         """Makes the worker.
 
@@ -76,7 +76,7 @@
             claims: The ledger; without one, requests with an
                 `Idempotency-Key` are refused.
         """
-        self._keyed = keyed.Keyed(claims, now)
+        self._keyed = idempotency.IdempotencyGuard(claims, now)
         self._slots = slots
         self._relay = relay
         self._clock = now
@@ -86,7 +86,7 @@
         self,
         environ: request.Environ,
         lookups: snapshot.Snapshot,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> Served:
         """Serves a completion by a model runner."""
         identified = self._identify(environ, lookups, record)
@@ -96,14 +96,14 @@
         if read.is_err():
             return result.Err(read.unwrap_err())
         chat = environ["PATH_INFO"] == _CHAT
-        parsed = request.read_prompt(read.unwrap(), chat)
+        parsed = request.parse_prompt(read.unwrap(), chat)
         if parsed.is_err():
             return result.Err(parsed.unwrap_err())
         prompt = parsed.unwrap()
         if prompt.model not in list_models(lookups.tree.root.endpoints):
             return refuse_model(prompt.model)
         identity = identified.unwrap()
-        ask = asks.ask_for_model(identity, lookups, record, prompt)
+        ask = admission_asks.make_model_ask(identity, lookups, record, prompt)
         call = answer_messages.Call(
             request=ask.request,
             method="POST",
@@ -121,14 +121,14 @@
         self,
         environ: request.Environ,
         lookups: snapshot.Snapshot,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> Served:
         """Passes a call on to a plain service."""
         method = environ["REQUEST_METHOD"]
         if method in _NO_METHODS:
             refused = request.check_method(environ, _SERVICE_METHODS)
             return result.Err(refused.unwrap_err())
-        located = target.read_service(environ)
+        located = target.parse_service_target(environ)
         if located.is_err():
             return result.Err(located.unwrap_err())
         identified = self._identify(environ, lookups, record)
@@ -141,7 +141,7 @@
         read = request.read_body(environ, self._body_limit)
         if read.is_err():
             return result.Err(read.unwrap_err())
-        ask = asks.ask_for_service(
+        ask = admission_asks.make_service_ask(
             identified.unwrap(),
             lookups,
             record,
@@ -168,7 +168,7 @@
         self,
         environ: request.Environ,
         lookups: snapshot.Snapshot,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> result.Result[request.Identity, errors.Refusal]:
         authenticated = request.authenticate(environ, lookups)
         if authenticated.is_err():
@@ -185,11 +185,11 @@
         environ: request.Environ,
         ask: admission_messages.Ask,
         call: answer_messages.Call,
-        record: journal.Record,
+        record: request_log.RequestLog,
     ) -> Served:
-        header = environ.get(keyed.HEADER)
+        header = environ.get(idempotency.HEADER)
         if header is None or (ask.service and ask.idempotent):
-            caller = environ.get(CALLER)
+            caller = environ.get(CALLER_KEY)
             return self._run_once(environ, ask, call, record, caller)
         return self._keyed.run(
             header,
@@ -205,13 +205,13 @@
         environ: request.Environ,
         ask: admission_messages.Ask,
         call: answer_messages.Call,
-        record: journal.Record,
+        record: request_log.RequestLog,
         caller: answer_edges.Caller | None,
         may_send: Callable[[], bool] | None = None,
     ) -> Served:
         decision = self._wait_for_slot(environ, ask)
         if isinstance(decision, admission_messages.Refused):
-            return result.Err(errors.describe_refused(decision))
+            return result.Err(errors.make_admission_refusal(decision))
         record.note_granted(decision.endpoint)
         if may_send and not may_send():
             self._give_back(decision)
--- a/pollenfork/entry/journal.py
+++ b/pollenfork/entry/request_log.py
@@ -16,7 +16,7 @@
 _MS = 1000
 
 
-class End(enum.Enum):
+class AnswerEnd(enum.Enum):
     """How the passing on of an answer ended."""
 
     ENDED = "ended"  # The caller got its last byte.
@@ -28,7 +28,7 @@
     return uuid.uuid4().hex
 
 
-class Record:
+class RequestLog:
     """The course of one request: counts and logs each step.
 
     Labels are bounded: teams and classes are the settings', and an account
@@ -102,7 +102,7 @@
 
     def note_end(self, status: int, ended: bool) -> None:
         """Counts and logs an answer that is passed on, or given up."""
-        end = End.ENDED if ended else End.CALLER_GONE
+        end = AnswerEnd.ENDED if ended else AnswerEnd.CALLER_GONE
         self._metrics.count(
             "pollenfork_answers_total",
             team=self.team,
@@ -136,7 +136,7 @@
         return math.floor((self._clock.monotonic() - self.arrived) * _MS)
 
 
-class Journal:
+class RequestLogFactory:
     """Opens the records of requests; safe from any thread."""
 
     def __init__(
@@ -149,7 +149,7 @@
         self._clock = now
         self._make_id = make_id
 
-    def begin(self) -> Record:
+    def begin(self) -> RequestLog:
         """Opens the record of a request that has just arrived."""
         request = ids.RequestId(self._make_id())
-        return Record(self._metrics, self._clock, request)
+        return RequestLog(self._metrics, self._clock, request)
--- a/pollenfork/entry/server.py
+++ b/pollenfork/entry/server.py
@@ -25,7 +25,7 @@
 from pollenfork.entry import listener
 from pollenfork.entry import refusal_task
 from pollenfork.entry import replies
-from pollenfork.entry import work
+from pollenfork.entry import request_handler
 
 _ACCEPTS = 64
 _LOG = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
     def get_environment(self) -> dict[str, Any]:
         """Returns the WSGI environment with the caller's connection."""
         environ: dict[str, Any] = super().get_environment()
-        environ[work.CALLER] = self.channel
+        environ[request_handler.CALLER_KEY] = self.channel
         return environ
 
 
@@ -126,7 +126,7 @@
         reason=admission_messages.RefusalReason.INSTANCE_FULL,
         retry_after_s=1.0,
     )
-    return errors.describe_refused(refused)
+    return errors.make_admission_refusal(refused)
 
 
 class ServerCounters(msgspec.Struct):
@@ -163,7 +163,7 @@
             self._control.add_task(task)
         elif not self.task_dispatcher.offer(task):
             self.counters.full += 1
-            parsed.error = refusal_task.Refused(_describe_full())
+            parsed.error = refusal_task.ServerRefusal(_describe_full())
             self._refusing.add_task(task)
 
     def readable(self) -> bool:
@@ -216,7 +216,7 @@
             f"{name}: {value}\r\n"
             for name, value in (*reply.headers, length, ("Connection", "close"))
         )
-        status = replies.write_status(reply.status)
+        status = replies.format_status(reply.status)
         written = f"HTTP/1.1 {status}\r\n{head}\r\n".encode() + reply.body
         with connection:
             connection.setblocking(False)
@@ -281,7 +281,7 @@
     return serve
 
 
-class Workers(waitress.task.ThreadedTaskDispatcher):
+class WorkerPool(waitress.task.ThreadedTaskDispatcher):
     """Worker threads that take no more tasks than there are threads.
 
     waitress' own count of active threads includes those that are still
@@ -300,7 +300,7 @@
             if self._taken >= len(self.threads):
                 return False
             self._taken += 1
-        self.add_task(_Counted(task, self._leave))
+        self.add_task(_CountedTask(task, self._leave))
         return True
 
     def wait_until_free(self) -> None:
@@ -315,7 +315,7 @@
                 self._free.notify_all()
 
 
-class _Counted:
+class _CountedTask:
     """A task that tells when it has ended."""
 
     def __init__(self, task: Any, on_end: Callable[[], None]) -> None:
@@ -337,7 +337,7 @@
             self._on_end()
 
 
-def _start_workers(count: int) -> Workers:
-    workers = Workers()
+def _start_workers(count: int) -> WorkerPool:
+    workers = WorkerPool()
     workers.set_thread_count(count)
     return workers
--- a/pollenfork/entry/target.py
+++ b/pollenfork/entry/target.py
@@ -49,7 +49,7 @@
     path: str
 
 
-def read_service(
+def parse_service_target(
     environ: request.Environ,
 ) -> result.Result[Target, errors.Refusal]:
     """Returns where a call to `/services/{service}/{path}` goes.
--- a/pollenfork/entry/tests/test_channel.py
+++ b/pollenfork/entry/tests/test_channel.py
@@ -14,8 +14,8 @@
 from pollenfork import config
 from pollenfork import ids
 from pollenfork.entry import replies
+from pollenfork.entry import request_handler
 from pollenfork.entry import server
-from pollenfork.entry import work
 
 WORK = "/v1/completions"
 CHUNK = b"x" * 65536
@@ -37,7 +37,7 @@
         if environ["PATH_INFO"] != WORK:
             yield b"ok"
             return
-        environ[work.CALLER].on_disconnect(self.gone.set)
+        environ[request_handler.CALLER_KEY].on_disconnect(self.gone.set)
         self.entered.release()
         yield CHUNK
         self.released.wait(20)
@@ -64,7 +64,7 @@
         )
         started.append(
             server.create_server(
-                app, settings, replies.write_refusal, clock.SystemClock()
+                app, settings, replies.make_refusal, clock.SystemClock()
             )
         )
         threading.Thread(target=started[-1].run, daemon=True).start()
--- a/pollenfork/entry/tests/test_journal.py
+++ b/pollenfork/entry/tests/test_journal.py
@@ -3,7 +3,7 @@
 from pollenfork import clock
 from pollenfork import ids
 from pollenfork import metrics
-from pollenfork.entry import journal
+from pollenfork.entry import request_log
 
 
 def read_samples(counters: metrics.Metrics) -> dict[str, str]:
@@ -16,7 +16,7 @@
 def test_times_count_from_the_arrival() -> None:
     now = clock.ManualClock()
     counters = metrics.Metrics()
-    record = journal.Journal(counters, now, lambda: "r").begin()
+    record = request_log.RequestLogFactory(counters, now, lambda: "r").begin()
     record.team = ids.Team("linework")
     record.service_class = ids.ClassName("morning")
     now.advance(0.2)
@@ -40,7 +40,9 @@
 
 def test_answer_given_up_by_its_caller_has_no_whole_time() -> None:
     counters = metrics.Metrics()
-    record = journal.Journal(counters, clock.ManualClock(), lambda: "r").begin()
+    record = request_log.RequestLogFactory(
+        counters, clock.ManualClock(), lambda: "r"
+    ).begin()
     record.note_end(200, ended=False)
     samples = read_samples(counters)
     assert list(samples) == [
--- a/pollenfork/entry/tests/test_keyed.py
+++ b/pollenfork/entry/tests/test_keyed.py
@@ -14,7 +14,7 @@
 from pollenfork.answers import messages as answer_messages
 from pollenfork.answers import session
 from pollenfork.entry import errors
-from pollenfork.entry import keyed
+from pollenfork.entry import idempotency
 from pollenfork.ledger import errors as ledger_errors
 from pollenfork.ledger import keys
 from pollenfork.ledger import records
@@ -96,7 +96,7 @@
             raise served
         return served
 
-    keeper = keyed.Keyed(claims, clock.ManualClock())
+    keeper = idempotency.IdempotencyGuard(claims, clock.ManualClock())
     return keeper.run(header, ask, CALL, run_once)
 
 
--- a/pollenfork/entry/tests/test_listener.py
+++ b/pollenfork/entry/tests/test_listener.py
@@ -212,7 +212,7 @@
         for byte in sent:
             caller.sendall(bytes([byte]))
         site.wait_until_received(len(sent))
-        site.clock.advance(listener.RECEIVE_S)
+        site.clock.advance(listener.RECEIVE_TIMEOUT_S)
         site.listener.check_callers_now()
         assert "refusals" not in site.metrics.render()[0].decode()
         site.clock.advance(1)
@@ -229,7 +229,7 @@
         head = b"GET /healthz HTTP/1.1\r\nHost: x\r\n"
         caller.sendall(head)
         site.wait_until_received(len(head))
-        site.clock.advance(listener.RECEIVE_S / 2)
+        site.clock.advance(listener.RECEIVE_TIMEOUT_S / 2)
         site.listener.check_callers_now()
         caller.sendall(b"Connection: close\r\n\r\n")
         answer = read_answer(caller)
@@ -242,7 +242,7 @@
         caller.sendall(HEAD + b"Content-Length: 9999\r\n\r\n")
         answer = read_answer(caller)
         assert answer.status == 413
-        site.clock.advance(listener.LINGER_S + 1)
+        site.clock.advance(listener.LINGER_TIMEOUT_S + 1)
         site.listener.check_callers_now()
         with pytest.raises(OSError):
             for _ in range(10_000):
--- a/pollenfork/entry/tests/test_progress.py
+++ b/pollenfork/entry/tests/test_progress.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.in_progress = progress.InProgress()
-        self.open: list[progress.Handover] = []
+        self.open: list[progress.CloseOnceChunks] = []
         self.chunks: list[Chunks] = []
 
     @stateful.rule(breaks=st.booleans(), close_fails=st.booleans())
@@ -45,7 +45,9 @@
         self.in_progress.enter()
         chunks = Chunks(breaks, close_fails)
         self.chunks.append(chunks)
-        self.open.append(progress.Handover(chunks, self.in_progress.leave))
+        self.open.append(
+            progress.CloseOnceChunks(chunks, self.in_progress.leave)
+        )
 
     @stateful.precondition(lambda self: self.open)
     @stateful.rule(read=st.integers(0, 3), closes=st.integers(1, 3))
@@ -105,7 +107,7 @@
 
 def test_chunks_that_write_by_themselves_still_can() -> None:
     chunks = Attachable()
-    handover = progress.Handover(chunks, lambda: None)
+    handover = progress.CloseOnceChunks(chunks, lambda: None)
     assert handover.attach
     handover.attach(print)
     assert chunks.writes == [print]
--- a/pollenfork/entry/tests/test_server.py
+++ b/pollenfork/entry/tests/test_server.py
@@ -7,7 +7,7 @@
 from pollenfork.entry import server
 
 
-class StartingWorkers(server.Workers):
+class StartingWorkers(server.WorkerPool):
     """Workers whose threads have not begun to run yet."""
 
     def start_new_thread(self, target: object, thread_no: int) -> None:
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("size", [1, 3])
 def test_task_is_refused_only_while_every_worker_is_busy(size: int) -> None:
-    workers = server.Workers()
+    workers = server.WorkerPool()
     workers.set_thread_count(size)
     tasks = [Task() for _ in range(size)]
     assert all(workers.offer(task) for task in tasks)
--- a/pollenfork/standin/engine/tests/test_core.py
+++ b/pollenfork/standin/engine/tests/test_core.py
@@ -307,5 +307,5 @@
         {"model": "model", "messages": [{"role": "user", "content": "é" * 999}]}
     )
     prompt = prompts.parse(body, True, 64).unwrap()
-    routed = request.read_prompt(body, chat=True).unwrap()
+    routed = request.parse_prompt(body, chat=True).unwrap()
     assert request.hash_prefix(routed) == prompt.blocks[0]
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from pollenfork.entry import journal
+from pollenfork.entry import request_log
 from tests import callers
 from tests import contract
 from tests import endpoints
@@ -156,7 +156,7 @@
         made.append(f"request-{len(made) + 1}")
         return made[-1]
 
-    monkeypatch.setattr(journal, "make_request_id", make_id)
+    monkeypatch.setattr(request_log, "make_request_id", make_id)
     text = play(SESSIONS[name])
     path = FILES / f"{name}.txt"
     if request.config.getoption("--rewrite-golden"):
