--- a/pollenfork/entry/__init__.py
+++ b/pollenfork/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP front towards callers."""
+"""The HTTP server for callers."""
--- a/pollenfork/entry/errors.py
+++ b/pollenfork/entry/errors.py
@@ -1,4 +1,4 @@
-"""What a caller can be told instead of an answer, and how it reads."""
+"""Error replies to callers: their codes, texts and JSON encoding."""
 
 import enum
 import http
@@ -12,7 +12,7 @@
 
 
 class Code(enum.Enum):
-    """The typed `code` of an error towards callers."""
+    """The machine-readable `code` of an error reply."""
 
     BAD_JSON = "bad_json"
     BAD_REQUEST = "bad_request"
@@ -30,7 +30,7 @@
     METHOD_NOT_ALLOWED = "method_not_allowed"
     OVERLOADED = "overloaded"
     STOPPING = "stopping"
-    CALLER_GONE = "caller_gone"  # Only logs and counters have it.
+    CALLER_GONE = "caller_gone"  # Only in logs and counters.
     ENDPOINT_FAILED = "endpoint_failed"
     RUNNING = "idempotent_request_running"
     OUTCOME_UNKNOWN = "outcome_unknown"
@@ -42,13 +42,14 @@
 
 
 class Refusal(failures.Failure, frozen=True, kw_only=True):
-    """A typed refusal towards the caller.
+    """An error reply to a caller, instead of an answer.
 
     Attributes:
-        reason: Finer than the code, where there is one; counted.
-        retry_after_s: When to come back, where that is known.
-        param: The field of the body at fault, where it is one.
-        allow: The methods that the path has, where the method is at fault.
+        reason: A more specific cause than the code, used as a metric label;
+            empty if the code says it all.
+        retry_after_s: Seconds until a retry makes sense, where known.
+        param: The invalid field of the body, if any.
+        allow: The methods that the path supports, for a method that isn't.
     """
 
     status: http.HTTPStatus
@@ -63,7 +64,7 @@
 def refuse(
     status: http.HTTPStatus, code: Code, detail: str, **more: Any
 ) -> result.Err[Refusal]:
-    """Returns a refusal as the result of a step; `more` are its fields."""
+    """Returns an `Err` with a refusal; `more` are further fields of it."""
     return result.Err(Refusal(status=status, code=code, detail=detail, **more))
 
 
@@ -79,7 +80,7 @@
 
 
 def encode_body(refusal: Refusal) -> bytes:
-    """Returns the refusal in OpenAI's error shape."""
+    """Returns the refusal as JSON in OpenAI's error format."""
     kind = "server_error"
     if refusal.status < http.HTTPStatus.INTERNAL_SERVER_ERROR:
         kind = "invalid_request_error"
@@ -107,14 +108,14 @@
     _Reason.RETRY_UNSAFE: "It may have run and must not run twice.",
     _Reason.HEDGE_UNWANTED: "No endpoint is idle enough for a copy.",
 }
-_LIMITED = (_Reason.ACCOUNT_LIMIT, _Reason.TEAM_LIMIT)
+_LIMIT_REASONS = (_Reason.ACCOUNT_LIMIT, _Reason.TEAM_LIMIT)
 
 
 def make_admission_refusal(refused: admission_messages.Refused) -> Refusal:
-    """Returns what the caller is told when the scheduler refuses."""
+    """Returns the refusal for a request that the scheduler refused."""
     status = http.HTTPStatus.SERVICE_UNAVAILABLE
     code = Code.OVERLOADED
-    if refused.reason in _LIMITED:
+    if refused.reason in _LIMIT_REASONS:
         status = http.HTTPStatus.TOO_MANY_REQUESTS
     if refused.reason is _Reason.STOPPING:
         code = Code.STOPPING
--- a/pollenfork/entry/progress.py
+++ b/pollenfork/entry/progress.py
@@ -1,4 +1,4 @@
-"""How many requests are in progress, for a stop that cuts none off."""
+"""Tracks requests in progress, so that a shutdown can wait for them."""
 
 from collections.abc import Callable, Iterable, Iterator
 import itertools
@@ -6,7 +6,7 @@
 
 
 class InProgress:
-    """An exact count of the requests in progress; safe from any thread."""
+    """An exact count of the requests in progress; thread-safe."""
 
     def __init__(self) -> None:
         self._idle = threading.Condition()
@@ -14,20 +14,20 @@
 
     @property
     def count(self) -> int:
-        """Requests accepted whose answer isn't handed over yet."""
+        """Accepted requests whose answer isn't handed to the server yet."""
         with self._idle:
             return self._count
 
     def enter(self) -> None:
-        """Counts one more request."""
+        """Adds a request."""
         with self._idle:
             self._count += 1
 
     def leave(self) -> None:
-        """Counts one request less.
+        """Removes a request.
 
         Raises:
-            RuntimeError: There was no request in progress.
+            RuntimeError: No request is in progress.
         """
         with self._idle:
             if not self._count:
@@ -37,18 +37,19 @@
                 self._idle.notify_all()
 
     def wait_until_idle(self, timeout_s: float) -> bool:
-        """Returns True once nothing is in progress, False at the timeout."""
+        """Returns True once no request is in progress, False on timeout."""
         with self._idle:
             return self._idle.wait_for(lambda: not self._count, timeout_s)
 
 
 class ObservedChunks:
-    """An answer's chunks; tells of the first one and of the end.
+    """An answer's chunks, with callbacks before the first one and on close.
 
-    Between the two nothing of this class runs.
+    The chunks after the first are iterated directly, without any overhead.
 
     Attributes:
-        attach: Of the chunks that can write to the caller by themselves.
+        attach: The chunks' own `attach`, if they can write to the caller
+            directly; else None.
     """
 
     def __init__(
@@ -57,13 +58,13 @@
         on_first: Callable[[], None],
         on_end: Callable[[bool], None],
     ) -> None:
-        """Makes the watch.
+        """Wraps the chunks.
 
         Args:
             chunks: The answer's body.
-            on_first: Called before the first chunk is passed on.
-            on_end: Called once closed, with whether the chunks came to
-                their end.
+            on_first: Called before the first chunk is returned.
+            on_end: Called on close with True if the chunks were read to
+                the end.
         """
         self._chunks = chunks
         self.attach = getattr(chunks, "attach", None)
@@ -75,32 +76,33 @@
         """Returns an iterator over the chunks."""
         chunks = iter(self._chunks)
         return itertools.chain(
-            self._pass_first(chunks), chunks, self._note_end()
+            self._iterate_first(chunks), chunks, self._mark_ended()
         )
 
     def close(self) -> None:
-        """Closes the chunks; to be called once."""
+        """Closes the chunks and calls `on_end`; must be called only once."""
         try:
             close_chunks(self._chunks)
         finally:
             self._on_end(self._ended)
 
-    def _pass_first(self, chunks: Iterator[bytes]) -> Iterator[bytes]:
+    def _iterate_first(self, chunks: Iterator[bytes]) -> Iterator[bytes]:
         for chunk in itertools.islice(chunks, 1):
             self._on_first()
             yield chunk
 
-    def _note_end(self) -> Iterator[bytes]:
+    def _mark_ended(self) -> Iterator[bytes]:
         self._ended = True
         return
         yield
 
 
 class CloseOnceChunks:
-    """A reply on its way to the server, closed exactly once.
+    """A WSGI response body whose `close` takes effect only once.
 
     Attributes:
-        attach: Of the chunks that can write to the caller by themselves.
+        attach: The chunks' own `attach`, if they can write to the caller
+            directly; else None.
     """
 
     def __init__(
@@ -112,11 +114,11 @@
         self.attach = getattr(chunks, "attach", None)
 
     def __iter__(self) -> Iterator[bytes]:
-        """Returns the chunks' own iterator, which costs nothing here."""
+        """Returns the chunks' own iterator, which adds no overhead."""
         return iter(self._chunks)
 
     def close(self) -> None:
-        """Closes the chunks and tells `on_closed`; a repeat does nothing."""
+        """Closes the chunks and calls `on_closed`; idempotent."""
         if self._closed:
             return
         self._closed = True
@@ -127,7 +129,7 @@
 
 
 def close_chunks(chunks: Iterable[bytes]) -> None:
-    """Closes the chunks where they can be closed."""
+    """Closes the chunks if they have a `close` method."""
     close = getattr(chunks, "close", None)
     if close:
         close()
--- a/pollenfork/entry/refusal_task.py
+++ b/pollenfork/entry/refusal_task.py
@@ -1,4 +1,4 @@
-"""What the server refuses before the application: typed like the rest."""
+"""Typed replies to requests that the server itself refuses."""
 
 from collections.abc import Callable
 import http
@@ -15,14 +15,14 @@
 
 
 class RequestTooSlow(waitress.utilities.BadRequest):
-    """The request didn't arrive whole in time."""
+    """The request didn't arrive completely in time."""
 
     code = http.HTTPStatus.REQUEST_TIMEOUT
     reason = http.HTTPStatus.REQUEST_TIMEOUT.phrase
 
 
 class ServerRefusal:
-    """The error of a request that the server refuses by its own limits."""
+    """Set as the `error` of a request that exceeds the server's own limits."""
 
     def __init__(self, refusal: errors.Refusal) -> None:
         self.refusal = refusal
@@ -37,7 +37,8 @@
     ),
     http.HTTPStatus.NOT_IMPLEMENTED: errors.Code.NOT_IMPLEMENTED,
 }
-# waitress's limits lie above the settings' ones, so its text would mislead.
+# waitress is given higher limits than the settings have, so its own text,
+# which names the limit, would be wrong.
 _TEXTS = {
     errors.Code.BODY_TOO_LARGE: "The body is over the limit.",
     errors.Code.HEADER_TOO_LONG: "The request line and headers are too long.",
@@ -45,13 +46,13 @@
 
 
 class RefusalTask(waitress.task.ErrorTask):
-    """Answers a request that never reaches the application.
+    """Replies to a request that doesn't reach the application.
 
-    The server has to have a method `refuse` of the type `Refuse`.
+    The server must have a method `refuse` of type `Refuse`.
     """
 
     def execute(self) -> None:
-        """Writes the refusal and ends the connection."""
+        """Sends the refusal and closes the connection."""
         refusal = describe_error(self.request.error)
         reply = self.channel.server.refuse(refusal)
         self.status = replies.format_status(reply.status)
@@ -63,7 +64,7 @@
 
 
 def describe_error(error: Any) -> errors.Refusal:
-    """Returns the refusal for an error of waitress's or the server's own."""
+    """Returns the refusal for an error set by waitress or by the server."""
     if isinstance(error, ServerRefusal):
         return error.refusal
     status = http.HTTPStatus(int(error.code))
--- a/pollenfork/entry/replies.py
+++ b/pollenfork/entry/replies.py
@@ -1,4 +1,4 @@
-"""Small replies, whole in memory, and refusals as such."""
+"""Replies that the router itself makes, refusals included."""
 
 from collections.abc import Callable
 import http
@@ -16,7 +16,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A small reply, whole in memory."""
+    """A complete HTTP response, held in memory."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -24,17 +24,17 @@
 
 
 def make_text(status: http.HTTPStatus, text: str) -> Reply:
-    """Returns a reply of one line."""
+    """Returns a plain-text reply of one line."""
     return Reply(status, [_TEXT], text.encode() + b"\n")
 
 
 def make_json(value: msgspec.Struct) -> Reply:
-    """Returns a reply that gives `value`."""
+    """Returns a reply with `value` as JSON."""
     return Reply(http.HTTPStatus.OK, [_JSON], msgspec.json.encode(value))
 
 
 def make_refusal(refusal: errors.Refusal) -> Reply:
-    """Returns a refusal as callers get it."""
+    """Returns the reply that states a refusal."""
     headers = [_JSON, ("X-Outcome", refusal.outcome.value)]
     if refusal.retry_after_s is not None:
         after = max(1, math.ceil(refusal.retry_after_s))
@@ -47,17 +47,24 @@
 
 
 def format_status(status: int) -> str:
-    """Returns the status as WSGI wants it: the number and its phrase."""
+    """Returns the status for WSGI: the code and its reason phrase."""
     try:
         return f"{status} {http.HTTPStatus(status).phrase}"
-    except ValueError:  # An endpoint may use a number of its own.
+    except ValueError:  # An endpoint may use a non-standard code.
         return f"{status} Unknown"
 
 
 def send_reply(
     start_response: StartResponse, reply: Reply, method: str, *more: Any
 ) -> list[bytes]:
-    """Sends a small reply with its length; `more` is for the server."""
+    """Starts a response and returns its body.
+
+    Args:
+        start_response: The server's callable (PEP 3333).
+        reply: The reply; its `Content-Length` is added here.
+        method: The request's method; a reply to HEAD has no body.
+        more: Further arguments for `start_response`, such as `exc_info`.
+    """
     headers = [*reply.headers, ("Content-Length", str(len(reply.body)))]
     start_response(format_status(reply.status), headers, *more)
     return [] if method == "HEAD" else [reply.body]
--- a/pollenfork/entry/target.py
+++ b/pollenfork/entry/target.py
@@ -1,4 +1,4 @@
-"""What of a caller's request goes on to an endpoint: path and headers."""
+"""The path and headers that are forwarded to an endpoint."""
 
 import http
 import re
@@ -12,7 +12,7 @@
 from pollenfork.entry import request
 
 _SERVICES = "services"
-_VISIBLE = re.compile(r"[\x21-\x7e]*")
+_VISIBLE_ASCII = re.compile(r"[\x21-\x7e]*")
 _HOP_BY_HOP = frozenset(
     {
         "CONNECTION",
@@ -27,9 +27,9 @@
         "UPGRADE",
     }
 )
-# The router's own: its key, its class, and what it tells endpoints itself.
-# The relay reads answers as they are, so it asks for no coding of them.
-_OWN = frozenset(
+# Meant for the router, or set by it for endpoints. Accept-Encoding is
+# dropped because the relay parses answers, so they must not be compressed.
+_ROUTER_HEADERS = frozenset(
     {
         "ACCEPT_ENCODING",
         "AUTHORIZATION",
@@ -39,11 +39,11 @@
         "X_SERVICE_CLASS",
     }
 )
-_KEY = frozenset({"IDEMPOTENCY_KEY"})
+_IDEMPOTENCY_HEADERS = frozenset({"IDEMPOTENCY_KEY"})
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service and the path there, with its query."""
+    """A service and the path and query to request from it."""
 
     service: ids.ServiceName
     path: str
@@ -52,12 +52,12 @@
 def parse_service_target(
     environ: request.Environ,
 ) -> result.Result[Target, errors.Refusal]:
-    """Returns where a call to `/services/{service}/{path}` goes.
+    """Parses the target of a call to `/services/{service}/{path}`.
 
-    The service sees what follows its own name, exactly as the caller wrote
-    it: percent-encoding stays.
+    The service gets what follows its name exactly as the caller wrote it,
+    percent-encoding included.
     """
-    path, _, query = _read_raw(environ).partition("?")
+    path, _, query = _get_request_target(environ).partition("?")
     _, root, name, rest = [*path.split("/", 3), "", ""][:4]
     if urllib.parse.unquote(root) != _SERVICES:
         return errors.refuse(
@@ -65,7 +65,7 @@
             errors.Code.UNKNOWN_PATH,
             "There is nothing at this path; see docs/http.md.",
         )
-    if not _VISIBLE.fullmatch(path + query) or _has_dots(rest):
+    if not _VISIBLE_ASCII.fullmatch(path + query) or _has_dot_segments(rest):
         return errors.refuse(
             http.HTTPStatus.BAD_REQUEST,
             errors.Code.BAD_REQUEST,
@@ -79,22 +79,24 @@
 def list_engine_headers(
     environ: request.Environ,
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the headers that go on to an engine."""
-    return _list_headers(environ, _HOP_BY_HOP | _OWN | _KEY)
+    """Returns the headers to forward to an engine."""
+    return _list_headers(
+        environ, _HOP_BY_HOP | _ROUTER_HEADERS | _IDEMPOTENCY_HEADERS
+    )
 
 
 def list_service_headers(
     environ: request.Environ,
 ) -> tuple[tuple[str, str], ...]:
-    """Returns the headers that go on to a service."""
-    return _list_headers(environ, _HOP_BY_HOP | _OWN)
+    """Returns the headers to forward to a service."""
+    return _list_headers(environ, _HOP_BY_HOP | _ROUTER_HEADERS)
 
 
 def _list_headers(
     environ: request.Environ, dropped: frozenset[str]
 ) -> tuple[tuple[str, str], ...]:
     connection = environ.get("HTTP_CONNECTION", "")
-    named = {
+    connection_options = {
         name.strip().upper().replace("-", "_") for name in connection.split(",")
     }
     headers = [
@@ -102,14 +104,14 @@
         for name, value in environ.items()
         if name.startswith("HTTP_")
         and name[5:] not in dropped
-        and name[5:] not in named
+        and name[5:] not in connection_options
     ]
     if environ.get("CONTENT_TYPE"):
         headers.append(("Content-Type", environ["CONTENT_TYPE"]))
     return tuple(headers)
 
 
-def _read_raw(environ: request.Environ) -> str:
+def _get_request_target(environ: request.Environ) -> str:
     """Returns the request target without scheme, host and fragment."""
     target: str = environ["REQUEST_URI"].partition("#")[0]
     if not target.startswith("/"):
@@ -118,6 +120,6 @@
     return "/" + target.lstrip("/")
 
 
-def _has_dots(path: str) -> bool:
+def _has_dot_segments(path: str) -> bool:
     segments = urllib.parse.unquote(path).split("/")
     return "." in segments or ".." in segments
--- a/pollenfork/entry/tests/test_progress.py
+++ b/pollenfork/entry/tests/test_progress.py
@@ -1,4 +1,4 @@
-"""Requests in progress, however they end."""
+"""The count of requests in progress, for every way that they end."""
 
 from collections.abc import Iterator
 import contextlib
@@ -12,7 +12,7 @@
 
 
 class Chunks:
-    """Chunks that count how often they are closed."""
+    """Two chunks; counts the calls of `close` and may fail."""
 
     def __init__(self, breaks: bool = False, close_fails: bool = False) -> None:
         self.closed = 0
@@ -32,7 +32,7 @@
 
 
 class InProgressMachine(stateful.RuleBasedStateMachine):
-    """The count follows enter and leave, and idle means none."""
+    """The count matches the open requests; it is idle only at zero."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,14 +52,14 @@
     @stateful.precondition(lambda self: self.open)
     @stateful.rule(read=st.integers(0, 3), closes=st.integers(1, 3))
     def finish(self, read: int, closes: int) -> None:
-        handover = self.open.pop(0)
-        chunks = iter(handover)
+        body = self.open.pop(0)
+        chunks = iter(body)
         with contextlib.suppress(ConnectionError):
             for _ in range(read):
                 next(chunks, None)
         for _ in range(closes):
             with contextlib.suppress(OSError):
-                handover.close()
+                body.close()
 
     @stateful.invariant()
     def count_is_exact(self) -> None:
@@ -73,7 +73,7 @@
 TestInProgress = InProgressMachine.TestCase
 
 
-def test_leave_without_enter_is_a_fault() -> None:
+def test_leave_without_enter_raises() -> None:
     with pytest.raises(RuntimeError):
         progress.InProgress().leave()
 
@@ -105,9 +105,9 @@
         self.writes.append(write)
 
 
-def test_chunks_that_write_by_themselves_still_can() -> None:
+def test_attach_of_the_chunks_is_passed_through() -> None:
     chunks = Attachable()
-    handover = progress.CloseOnceChunks(chunks, lambda: None)
-    assert handover.attach
-    handover.attach(print)
+    body = progress.CloseOnceChunks(chunks, lambda: None)
+    assert body.attach
+    body.attach(print)
     assert chunks.writes == [print]
