--- a/pollenfork/entry/idempotency.py
+++ b/pollenfork/entry/idempotency.py
@@ -1,4 +1,4 @@
-"""Requests with an `Idempotency-Key`: claimed, run once, replayed."""
+"""Runs each request with an `Idempotency-Key` once and replays its answer."""
 
 from collections.abc import Callable, Iterable, Iterator
 import http
@@ -18,9 +18,10 @@
 from pollenfork.ledger import keys
 
 HEADER = "HTTP_IDEMPOTENCY_KEY"
-_FINISH_MARK = b"\ndata: [DONE]"  # A line of its own: no event's text.
-_MARK_BYTES = 64  # More than the mark and the blank lines after it.
-_KEEP_BYTES = 32 * 1024 * 1024
+# The newline before it keeps it from matching the text of an event.
+_DONE_LINE = b"\ndata: [DONE]"
+_TAIL_BYTES = 64  # Fits that line and the blank lines after it.
+_MAX_RECORDED_BYTES = 32 * 1024 * 1024
 _REFUSALS: dict[type[ledger_errors.LedgerRefusal], tuple[errors.Code, str]] = {
     ledger_errors.Running: (
         errors.Code.RUNNING,
@@ -55,7 +56,7 @@
 
 
 class Claim(Protocol):
-    """The right to run one request once; it ends by one `record_` call."""
+    """The right to run a request once; ends with the first `record_` call."""
 
     def may_send(self) -> bool:
         """Returns whether the request may still be sent."""
@@ -66,26 +67,26 @@
         headers: Iterable[tuple[str, str]],
         body: bytes | None,
     ) -> Any:
-        """Keeps the whole answer for repeats; None says that it isn't kept."""
+        """Stores the answer for retries; a body of None isn't stored."""
 
     def record_not_run(self) -> Any:
-        """Frees the key."""
+        """Releases the key, so that a retry may run the request."""
 
     def record_unknown(self) -> Any:
-        """Keeps the key closed."""
+        """Blocks the key: a retry must not run the request again."""
 
 
 class Claims(Protocol):
-    """The ledger as the entry needs it."""
+    """The part of the ledger that the entry uses."""
 
     def claim(
         self, key: keys.RequestKey, fingerprint: bytes, now: float
     ) -> result.Result[Claim, ledger_errors.LedgerRefusal]:
-        """Claims the right to run the request under `key`; blocks."""
+        """Claims the right to run the request with `key`; blocking."""
 
 
 class IdempotencyGuard:
-    """Runs requests under their callers' keys."""
+    """Runs requests that carry an idempotency key."""
 
     def __init__(self, claims: Claims | None, now: clock.Clock) -> None:
         self._claims = claims
@@ -98,15 +99,16 @@
         call: answer_messages.Call,
         run_once: Callable[[Callable[[], bool]], Served],
     ) -> Served:
-        """Runs the request unless its key says otherwise.
+        """Runs the request, or replays or refuses it according to its key.
 
         Args:
-            header: The value of the header.
-            ask: Whose request it is.
+            header: The value of the `Idempotency-Key` header.
+            ask: The admission ask, with the team and account.
             call: The request.
-            run_once: Runs it; takes what says whether it may be sent still.
+            run_once: Runs the request; its argument tells whether the claim
+                still allows sending it.
         """
-        # Accounts of two teams may have one name.
+        # Account names are unique only within a team.
         owner = ids.AccountId(f"{ask.team}/{ask.account}")
         read = keys.read_header(owner, header)
         if read.is_err():
@@ -117,7 +119,7 @@
             )
         claimed = self._claim(read.unwrap(), ask, call)
         if claimed.is_err():
-            return _answer_repeat(claimed.unwrap_err())
+            return _answer_retry(claimed.unwrap_err())
         return _run_claimed(claimed.unwrap(), call, run_once)
 
     def _claim(
@@ -132,19 +134,19 @@
         path = f"/services/{ask.service}{call.path}"
         if ask.service is None:
             path = call.path
-        print_of = keys.compute_fingerprint(call.method, path, call.body)
-        return self._claims.claim(key, print_of, self._clock.wall())
+        fingerprint = keys.compute_fingerprint(call.method, path, call.body)
+        return self._claims.claim(key, fingerprint, self._clock.wall())
 
 
 class RecordedChunks(Iterator[bytes]):
-    """An answer's bytes; they are kept for repeats once whole.
+    """Passes an answer on and records it for retries once it is complete.
 
-    The chunk that makes the answer whole is handed over after the outcome is
-    recorded, so that a repeat right after it finds the record. Any other is
-    handed over at once.
+    The chunk that completes the answer is returned only after the outcome is
+    recorded, so that an immediate retry finds the record. All other chunks
+    are returned at once.
 
-    A caller that goes away doesn't end the request: it may come back with
-    its key for the answer, so the rest is read and kept.
+    If the caller disconnects, the rest of the answer is still read and
+    recorded, as the caller may retry with the same key.
     """
 
     def __init__(
@@ -155,35 +157,35 @@
         self._streamed = streamed
         self._parts: list[bytes] = []
         self._size = 0
-        self._last = b""
+        self._tail = b""
         self._ended = False
 
     def __next__(self) -> bytes:
-        """Returns the next bytes; records the outcome at their end."""
-        chunk = b"" if self._ended else self._take()
+        """Returns the next bytes; at the end, records the outcome."""
+        chunk = b"" if self._ended else self._read_chunk()
         if not chunk:
             raise StopIteration
         if not self._streamed or _is_finished(chunk):
-            return b"".join([chunk, *iter(self._take, b"")])
+            return b"".join([chunk, *iter(self._read_chunk, b"")])
         return chunk
 
     def close(self) -> None:
-        """Reads what is left, records the outcome and closes the answer."""
+        """Reads the rest, records the outcome and closes the answer."""
         try:
             for _ in self:
                 pass
         finally:
-            self._claim.record_unknown()  # Without effect once recorded.
+            self._claim.record_unknown()  # No-op if already recorded.
             progress.close_chunks(self._answer.chunks)
 
-    def _take(self) -> bytes:
+    def _read_chunk(self) -> bytes:
         chunk = next(self._answer.chunks, b"")
         if not chunk:
             self._ended = True
             self._record()
         self._size += len(chunk)
-        self._last = (self._last + chunk)[-_MARK_BYTES:]
-        if self._size <= _KEEP_BYTES:
+        self._tail = (self._tail + chunk)[-_TAIL_BYTES:]
+        if self._size <= _MAX_RECORDED_BYTES:
             self._parts.append(chunk)
         return chunk
 
@@ -191,17 +193,17 @@
         answer = self._answer
         body = b"".join(self._parts)
         failed = answer.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
-        cut = self._size > len(body)
-        broken = self._streamed and not _is_finished(self._last)
-        if failed or broken:
+        truncated = self._size > len(body)
+        incomplete = self._streamed and not _is_finished(self._tail)
+        if failed or incomplete:
             self._claim.record_unknown()
             return
-        kept = None if cut else body
-        self._claim.record_done(answer.status, answer.headers, kept)
+        recorded = None if truncated else body
+        self._claim.record_done(answer.status, answer.headers, recorded)
 
 
 def _is_finished(body: bytes) -> bool:
-    return (b"\n" + body).rstrip(b"\r\n").endswith(_FINISH_MARK)
+    return (b"\n" + body).rstrip(b"\r\n").endswith(_DONE_LINE)
 
 
 def _run_claimed(
@@ -216,7 +218,7 @@
         raise
     if served.is_ok():
         answer = served.unwrap()
-        # A refused stream comes as a plain answer.
+        # An endpoint that refuses a stream sends a plain response.
         streamed = call.streamed and answer.status == http.HTTPStatus.OK
         chunks = RecordedChunks(answer, claim, streamed)
         return result.Ok(session.Answer(answer.status, answer.headers, chunks))
@@ -227,12 +229,12 @@
     return served
 
 
-def _answer_repeat(refusal: ledger_errors.LedgerRefusal) -> Served:
+def _answer_retry(refusal: ledger_errors.LedgerRefusal) -> Served:
     if isinstance(refusal, ledger_errors.Replay):
-        kept = refusal.answer
-        headers = [*kept.headers, ("Idempotent-Replayed", "true")]
+        recorded = refusal.answer
+        headers = [*recorded.headers, ("Idempotent-Replayed", "true")]
         return result.Ok(
-            session.Answer(kept.status, headers, iter([kept.body]))
+            session.Answer(recorded.status, headers, iter([recorded.body]))
         )
     code, detail = _REFUSALS[type(refusal)]
     return errors.refuse(
--- a/pollenfork/entry/tests/test_keyed.py
+++ b/pollenfork/entry/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Requests under a key: every ending is recorded, none twice."""
+"""Requests with an idempotency key: each outcome is recorded once."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -25,40 +25,40 @@
 
 
 class Claim:
-    """Notes the first ending, as the ledger's claim does."""
+    """Keeps the first recorded outcome, like the ledger's claim."""
 
     def __init__(self) -> None:
-        self.ending: tuple[Any, ...] | None = None
+        self.recorded_outcome: tuple[Any, ...] | None = None
 
     def may_send(self) -> bool:
         return True
 
     def record_done(self, status: int, headers: Any, body: bytes) -> None:
-        self._end("done", status, list(headers), body)
+        self._record("done", status, list(headers), body)
 
     def record_not_run(self) -> None:
-        self._end("not_run")
+        self._record("not_run")
 
     def record_unknown(self) -> None:
-        self._end("unknown")
+        self._record("unknown")
 
-    def _end(self, *ending: Any) -> None:
-        self.ending = self.ending or ending
+    def _record(self, *recorded_outcome: Any) -> None:
+        self.recorded_outcome = self.recorded_outcome or recorded_outcome
 
 
 class Claims:
     def __init__(self, refusal: Any = None) -> None:
-        self.claim_made = Claim()
-        self.asked: list[tuple[keys.RequestKey, bytes]] = []
+        self.granted_claim = Claim()
+        self.claimed: list[tuple[keys.RequestKey, bytes]] = []
         self._refusal = refusal
 
     def claim(
         self, key: keys.RequestKey, fingerprint: bytes, now: float
     ) -> Any:
-        self.asked.append((key, fingerprint))
+        self.claimed.append((key, fingerprint))
         if self._refusal:
             return result.Err(self._refusal)
-        return result.Ok(self.claim_made)
+        return result.Ok(self.granted_claim)
 
 
 ASK = admission_messages.Ask(
@@ -96,8 +96,8 @@
             raise served
         return served
 
-    keeper = idempotency.IdempotencyGuard(claims, clock.ManualClock())
-    return keeper.run(header, ask, CALL, run_once)
+    guard = idempotency.IdempotencyGuard(claims, clock.ManualClock())
+    return guard.run(header, ask, CALL, run_once)
 
 
 def answer(parts: list[bytes], status: int = 200) -> Any:
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("read", [0, 1, 9])
 @pytest.mark.parametrize(
-    ("parts", "status", "ending"),
+    ("parts", "status", "recorded_outcome"),
     [
         ([EVENT, DONE], 200, "done"),
         ([EVENT + DONE], 200, "done"),
@@ -122,8 +122,8 @@
         ([b"lost"], 500, "unknown"),
     ],
 )
-def test_answer_is_kept_only_whole_even_if_its_caller_goes(
-    parts: list[bytes], status: int, ending: str, read: int
+def test_answer_is_recorded_only_if_complete_even_after_a_disconnect(
+    parts: list[bytes], status: int, recorded_outcome: str, read: int
 ) -> None:
     claims = Claims()
     chunks = run(claims, answer(parts, status)).unwrap().chunks
@@ -131,19 +131,19 @@
         next(chunks, None)
     chunks.close()
     done = ("done", status, [("A", "b")], b"".join(parts))
-    expected = done if ending == "done" else ("unknown",)
-    assert claims.claim_made.ending == expected
+    expected = done if recorded_outcome == "done" else ("unknown",)
+    assert claims.granted_claim.recorded_outcome == expected
 
 
 @pytest.mark.parametrize(
-    ("outcome", "ending"),
+    ("outcome", "recorded_outcome"),
     [
         (failures.Outcome.NOT_RUN, "not_run"),
         (failures.Outcome.UNKNOWN, "unknown"),
     ],
 )
-def test_refusal_frees_the_key_only_with_proof(
-    outcome: failures.Outcome, ending: str
+def test_refusal_releases_the_key_only_if_not_run(
+    outcome: failures.Outcome, recorded_outcome: str
 ) -> None:
     claims = Claims()
     refused = errors.Refusal(
@@ -152,14 +152,14 @@
         outcome=outcome,
     )
     assert run(claims, result.Err(refused)).is_err()
-    assert claims.claim_made.ending == (ending,)
+    assert claims.granted_claim.recorded_outcome == (recorded_outcome,)
 
 
-def test_failure_of_the_router_leaves_the_outcome_unknown() -> None:
+def test_exception_leaves_the_outcome_unknown() -> None:
     claims = Claims()
     with pytest.raises(OSError, match="lost"):
         run(claims, OSError("lost"))
-    assert claims.claim_made.ending == ("unknown",)
+    assert claims.granted_claim.recorded_outcome == ("unknown",)
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
         (ledger_errors.LedgerDown(), 503, "record_unavailable", "not_run"),
     ],
 )
-def test_claim_refused(
+def test_refused_claim_is_mapped_to_an_error(
     refusal: Any, status: int, code: str, outcome: str
 ) -> None:
     refused = run(Claims(refusal), OSError("ran")).unwrap_err()
@@ -183,10 +183,10 @@
     assert refused.detail
 
 
-def test_repeat_gets_the_kept_answer() -> None:
-    kept = records.Answer(201, (("A", "b"),), b"whole")
+def test_retry_gets_the_recorded_answer() -> None:
+    recorded = records.Answer(201, (("A", "b"),), b"whole")
     replayed = run(
-        Claims(ledger_errors.Replay(answer=kept)), OSError("ran")
+        Claims(ledger_errors.Replay(answer=recorded)), OSError("ran")
     ).unwrap()
     assert replayed.status == 201
     assert replayed.headers == [("A", "b"), ("Idempotent-Replayed", "true")]
@@ -199,16 +199,16 @@
     refused = run(claims, OSError("ran"), header).unwrap_err()
     assert refused.status == 400
     assert refused.code is errors.Code.BAD_IDEMPOTENCY_KEY
-    assert claims.asked == []
+    assert claims.claimed == []
 
 
-def test_without_a_ledger_nothing_runs_under_a_key() -> None:
+def test_request_with_a_key_is_refused_without_a_ledger() -> None:
     refused = run(None, OSError("ran")).unwrap_err()
     assert refused.code is errors.Code.RECORD_UNAVAILABLE
     assert refused.outcome is failures.Outcome.NOT_RUN
 
 
-def test_keys_are_apart_by_team_and_prints_by_service() -> None:
+def test_keys_differ_by_team_and_fingerprints_by_service() -> None:
     claims = Claims()
     replace = msgspec.structs.replace
     for ask in (
@@ -218,7 +218,7 @@
         replace(ASK, service=ids.ServiceName("prices")),
     ):
         run(claims, answer([]), ask=ask).unwrap()
-    (first, other_team, meter, prices) = claims.asked
+    (first, other_team, meter, prices) = claims.claimed
     assert first[0].row != other_team[0].row
     assert first[0].row == meter[0].row
     assert len({first[1], meter[1], prices[1]}) == 3
