--- a/pollenfork/entry/server.py
+++ b/pollenfork/entry/server.py
@@ -1,9 +1,11 @@
-"""The HTTP server of an entry instance: waitress, with the relay's needs.
+"""The HTTP server of an entry instance, based on waitress.
 
-What differs from waitress as it comes: a worker or the relay's thread writes
-straight to the caller's socket; the end of a caller's connection is told at
-once; a request that finds every worker busy is refused at once; probes,
-metrics and operators have workers of their own.
+It differs from waitress in these points:
+
+- A worker or the relay's thread writes directly to the caller's socket.
+- Callbacks are called as soon as a caller's connection ends.
+- A request is refused at once while every worker is busy.
+- Probes, metrics and operators' requests have a separate worker pool.
 """
 
 from collections.abc import Callable, Iterable
@@ -27,27 +29,27 @@
 from pollenfork.entry import replies
 from pollenfork.entry import request_handler
 
-_ACCEPTS = 64
+_MAX_ACCEPTS = 64
 _LOG = logging.getLogger(__name__)
 
 _CONTROL_THREADS = 4
-_REFUSING_THREADS = 2
+_REFUSAL_THREADS = 2
 _SPARE_CONNECTIONS = 512
 _BACKLOG = 1024
-_CALLER_STALL_S = 30.0
+_STALL_TIMEOUT_S = 30.0
 _UNSENT_LIMIT = 256 * 1024
-# waitress spills larger buffers to disk, and the instances have none.
-_NEVER_SPILL = 1 << 30
-_WORK = ("/v1/chat/completions", "/v1/completions", "/services/")
+# waitress writes larger buffers to disk, and the instances have no disk.
+_NO_DISK_OVERFLOW = 1 << 30
+_REQUEST_PATHS = ("/v1/chat/completions", "/v1/completions", "/services/")
 
 App = Callable[[dict[str, Any], Any], Iterable[bytes]]
 
 
 class Channel(listener.Channel):
-    """One caller's connection; also what the relay knows of the caller."""
+    """One caller's connection, which the relay uses as its `Caller` too."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        self._gone_calls: list[Callable[[], None]] = []
+        self._disconnect_callbacks: list[Callable[[], None]] = []
         super().__init__(*args, **kwargs)
 
     def is_disconnected(self) -> bool:
@@ -55,24 +57,24 @@
         return not self.connected
 
     def on_disconnect(self, call: Callable[[], None]) -> None:
-        """Calls `call` when the connection ends before its answer did."""
-        self._gone_calls.append(call)
+        """Calls `call` if the connection ends before the answer does."""
+        self._disconnect_callbacks.append(call)
         if not self.connected:
             call()
 
     def count_unsent(self) -> int:
-        """Returns bytes that wait for the caller to read."""
+        """Returns how many buffered bytes aren't sent to the caller yet."""
         return int(self.total_outbufs_len)
 
     def write_soon(self, data: Any) -> int:
-        """Writes to the socket; what it doesn't take is buffered."""
+        """Writes directly to the socket and buffers what it doesn't accept."""
         if self.total_outbufs_len or type(data) is not bytes or not data:
             return int(super().write_soon(data))
         if not self.connected:
             raise waitress.channel.ClientDisconnected
         size = len(data)
         with self.outbuf_lock:
-            # The server's thread may have begun to flush meanwhile.
+            # The server's thread may have started to flush in the meantime.
             sent = 0 if self.total_outbufs_len else self._send_now(data)
         if sent < size:
             self.last_activity = time.time()
@@ -80,22 +82,27 @@
         return size
 
     def service(self) -> None:
-        """Serves a request; its callbacks are forgotten with its end."""
-        # A list for each request: the next one may begin before this ends.
-        calls = self._gone_calls = []
+        """Serves a request and drops its callbacks at its end."""
+        # One list per request: the next request may begin before this one
+        # has ended.
+        callbacks = self._disconnect_callbacks = []
         try:
             super().service()
         finally:
-            calls.clear()
+            callbacks.clear()
 
     def handle_close(self) -> None:
-        """Closes the connection and tells whoever serves it."""
-        # The close wakes a worker that writes, whose request then ends and
-        # forgets its calls; those are told all the same.
-        told = list(self._gone_calls)
+        """Closes the connection and runs the disconnect callbacks."""
+        # Closing wakes a worker that is writing; its request then ends and
+        # clears its callbacks. The copy keeps those, as they must run too.
+        callbacks = list(self._disconnect_callbacks)
         super().handle_close()
-        told += [call for call in list(self._gone_calls) if call not in told]
-        for call in told:
+        callbacks += [
+            call
+            for call in list(self._disconnect_callbacks)
+            if call not in callbacks
+        ]
+        for call in callbacks:
             call()
 
     def _send_now(self, data: bytes) -> int:
@@ -120,7 +127,7 @@
 Channel.task_class = _Task
 
 
-def _describe_full() -> errors.Refusal:
+def _make_full_refusal() -> errors.Refusal:
     refused = admission_messages.Refused(
         request=ids.RequestId(""),
         reason=admission_messages.RefusalReason.INSTANCE_FULL,
@@ -130,12 +137,12 @@
 
 
 class ServerCounters(msgspec.Struct):
-    """What the server counts.
+    """Counters of the server.
 
     Attributes:
         full: Requests refused because every worker was busy.
-        overflow: Connections refused because there were too many.
-        stalled: Callers cut off because they took nothing for long.
+        overflow: Connections refused because too many were open.
+        stalled: Connections closed because the caller stopped reading.
     """
 
     full: int = 0
@@ -144,36 +151,36 @@
 
 
 class Server(listener.Listener):
-    """Never lets a caller wait unseen: beyond its limits it refuses."""
+    """Refuses what exceeds its limits, rather than leave callers waiting."""
 
     channel_class = Channel
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         self.counters = ServerCounters()
-        self._control = _start_workers(_CONTROL_THREADS)
-        self._refusing = _start_workers(_REFUSING_THREADS)
+        self._control_pool = _start_pool(_CONTROL_THREADS)
+        self._refusal_pool = _start_pool(_REFUSAL_THREADS)
         super().__init__(*args, **kwargs)
 
     def add_task(self, task: Any) -> None:
-        """Hands a connection with a whole request to a worker."""
+        """Passes a connection with a complete request to a worker pool."""
         parsed = task.requests[0]
         if parsed.error is not None:
-            self._refusing.add_task(task)
-        elif not parsed.path.startswith(_WORK):
-            self._control.add_task(task)
-        elif not self.task_dispatcher.offer(task):
+            self._refusal_pool.add_task(task)
+        elif not parsed.path.startswith(_REQUEST_PATHS):
+            self._control_pool.add_task(task)
+        elif not self.task_dispatcher.try_add_task(task):
             self.counters.full += 1
-            parsed.error = refusal_task.ServerRefusal(_describe_full())
-            self._refusing.add_task(task)
+            parsed.error = refusal_task.ServerRefusal(_make_full_refusal())
+            self._refusal_pool.add_task(task)
 
     def readable(self) -> bool:
-        """Returns True: connections are accepted beyond the limit too."""
+        """Returns whether to accept; even beyond the limit, to send refusals."""
         super().readable()
         return bool(self.accepting)
 
     def handle_accept(self) -> None:
-        """Accepts what waits, several at a time."""
-        for _ in range(_ACCEPTS):
+        """Accepts pending connections, several at a time."""
+        for _ in range(_MAX_ACCEPTS):
             try:
                 connection, address = self.socket.accept()
             except OSError:
@@ -187,41 +194,46 @@
             )
 
     def maintenance(self, now: float) -> None:
-        """Cuts off callers that take nothing, besides what waitress does.
+        """Also closes the connections of callers that have stopped reading.
 
-        The engine's work for such a caller is cancelled, as if it had gone.
+        The engine's work for such a caller is cancelled, as after a
+        disconnect.
 
         Args:
-            now: Unix time in seconds, as waitress keeps it for a connection.
+            now: Unix time in seconds, as in the `last_activity` of waitress.
         """
         super().maintenance(now)
         for channel in list(self.active_channels.values()):
-            stalled = channel.last_activity < now - _CALLER_STALL_S
+            stalled = channel.last_activity < now - _STALL_TIMEOUT_S
             if stalled and channel.requests and channel.count_unsent():
                 self.counters.stalled += 1
                 _LOG.warning("event=caller_stalled address=%s", channel.addr)
                 channel.handle_close()
 
     def stop(self) -> None:
-        """Ends every connection, and the workers once they are idle."""
+        """Closes every connection, and ends the workers once they are idle."""
         super().stop()
-        for workers in (self.task_dispatcher, self._control, self._refusing):
+        for workers in (
+            self.task_dispatcher,
+            self._control_pool,
+            self._refusal_pool,
+        ):
             workers.set_thread_count(0)
 
     def _refuse(self, connection: socket.socket) -> None:
         self.counters.overflow += 1
-        reply = self.refuse(_describe_full())
+        reply = self.refuse(_make_full_refusal())
         length = ("Content-Length", str(len(reply.body)))
         head = "".join(
             f"{name}: {value}\r\n"
             for name, value in (*reply.headers, length, ("Connection", "close"))
         )
         status = replies.format_status(reply.status)
-        written = f"HTTP/1.1 {status}\r\n{head}\r\n".encode() + reply.body
+        response = f"HTTP/1.1 {status}\r\n{head}\r\n".encode() + reply.body
         with connection:
             connection.setblocking(False)
             try:
-                connection.send(written)
+                connection.send(response)
                 connection.shutdown(socket.SHUT_WR)
             except OSError:
                 return
@@ -233,12 +245,12 @@
     refuse: refusal_task.Refuse,
     now: clock.Clock,
 ) -> Server:
-    """Returns a server that has a worker for each caller it admits.
+    """Returns a server with one worker for each request that it admits.
 
     Args:
         app: The WSGI application.
         settings: Address and limits.
-        refuse: Counts a refusal and returns the reply to it.
+        refuse: Counts a refusal and returns its reply.
         now: The clock.
     """
     workers = settings.streams + settings.waiting
@@ -246,14 +258,14 @@
         _attach_relay(app),
         refuse,
         now,
-        dispatcher=_start_workers(workers),
+        dispatcher=_start_pool(workers),
         listen=settings.listen,
         threads=workers,
         connection_limit=workers + _SPARE_CONNECTIONS,
         backlog=_BACKLOG,
         channel_request_lookahead=1,
-        inbuf_overflow=_NEVER_SPILL,
-        outbuf_overflow=_NEVER_SPILL,
+        inbuf_overflow=_NO_DISK_OVERFLOW,
+        outbuf_overflow=_NO_DISK_OVERFLOW,
         outbuf_high_watermark=_UNSENT_LIMIT,
         max_request_body_size=settings.body_limit * 2,
         asyncore_use_poll=True,
@@ -262,7 +274,10 @@
 
 
 def _attach_relay(app: App) -> App:
-    """Lets an answer's chunks write to the caller by themselves."""
+    """Passes the WSGI `write` callable to chunks that have `attach`.
+
+    Such chunks write to the caller directly.
+    """
 
     def serve(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         writes: list[Any] = []
@@ -282,48 +297,49 @@
 
 
 class WorkerPool(waitress.task.ThreadedTaskDispatcher):
-    """Worker threads that take no more tasks than there are threads.
+    """Worker threads that accept at most one task per thread.
 
-    waitress' own count of active threads includes those that are still
-    starting, so it can't tell whether one is free.
+    waitress counts threads that are still starting as active, so its count
+    can't tell whether a thread is free.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._taken = 0
-        # Not the dispatcher's lock: it cancels tasks while it holds that.
-        self._free = threading.Condition()
-
-    def offer(self, task: Any) -> bool:
-        """Takes the task and returns True, or False where all are busy."""
-        with self._free:
-            if self._taken >= len(self.threads):
+        self._busy = 0
+        # A lock of its own: the dispatcher cancels tasks, which end up in
+        # `_release`, while it holds its lock.
+        self._idle = threading.Condition()
+
+    def try_add_task(self, task: Any) -> bool:
+        """Adds the task and returns True, or False if all threads are busy."""
+        with self._idle:
+            if self._busy >= len(self.threads):
                 return False
-            self._taken += 1
-        self.add_task(_CountedTask(task, self._leave))
+            self._busy += 1
+        self.add_task(_CountedTask(task, self._release))
         return True
 
-    def wait_until_free(self) -> None:
-        """Returns once no task is taken."""
-        with self._free:
-            self._free.wait_for(lambda: not self._taken)
+    def wait_until_idle(self) -> None:
+        """Blocks until no thread has a task."""
+        with self._idle:
+            self._idle.wait_for(lambda: not self._busy)
 
-    def _leave(self) -> None:
-        with self._free:
-            self._taken -= 1
-            if not self._taken:
-                self._free.notify_all()
+    def _release(self) -> None:
+        with self._idle:
+            self._busy -= 1
+            if not self._busy:
+                self._idle.notify_all()
 
 
 class _CountedTask:
-    """A task that tells when it has ended."""
+    """A task with a callback for its end."""
 
     def __init__(self, task: Any, on_end: Callable[[], None]) -> None:
         self._task = task
         self._on_end = on_end
 
     def service(self) -> None:
-        """Serves the task."""
+        """Runs the task."""
         try:
             self._task.service()
         finally:
@@ -337,7 +353,7 @@
             self._on_end()
 
 
-def _start_workers(count: int) -> WorkerPool:
+def _start_pool(count: int) -> WorkerPool:
     workers = WorkerPool()
     workers.set_thread_count(count)
     return workers
--- a/pollenfork/entry/tests/test_channel.py
+++ b/pollenfork/entry/tests/test_channel.py
@@ -1,4 +1,4 @@
-"""The server towards real sockets: slow, vanishing and too many callers."""
+"""The server with real sockets: slow, disconnecting and too many callers."""
 
 from collections.abc import Callable, Iterator
 import http.client
@@ -17,27 +17,27 @@
 from pollenfork.entry import request_handler
 from pollenfork.entry import server
 
-WORK = "/v1/completions"
+COMPLETIONS = "/v1/completions"
 CHUNK = b"x" * 65536
 CHUNKS = 100
 
 
 class App:
-    """Holds each request of work until released, then sends its chunks."""
+    """Holds each completion until released, then sends its chunks."""
 
     def __init__(self, chunks: int = 1) -> None:
         self.released = threading.Event()
         self.entered = threading.Semaphore(0)
-        self.gone = threading.Event()
-        self.failed = threading.Event()
+        self.disconnected = threading.Event()
+        self.closed_early = threading.Event()
         self._chunks = chunks
 
     def __call__(self, environ: dict[str, Any], start: Any) -> Iterator[bytes]:
         start("200 OK", [("Content-Type", "text/plain")])
-        if environ["PATH_INFO"] != WORK:
+        if environ["PATH_INFO"] != COMPLETIONS:
             yield b"ok"
             return
-        environ[request_handler.CALLER_KEY].on_disconnect(self.gone.set)
+        environ[request_handler.CALLER_KEY].on_disconnect(self.disconnected.set)
         self.entered.release()
         yield CHUNK
         self.released.wait(20)
@@ -45,7 +45,7 @@
             for _ in range(self._chunks - 1):
                 yield CHUNK
         except GeneratorExit:
-            self.failed.set()
+            self.closed_early.set()
 
 
 @pytest.fixture
@@ -76,7 +76,7 @@
 
 
 def ask(
-    running: server.Server, path: str = WORK, body: bytes = b"{}"
+    running: server.Server, path: str = COMPLETIONS, body: bytes = b"{}"
 ) -> http.client.HTTPConnection:
     port = int(running.effective_port)
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=20)
@@ -93,7 +93,7 @@
     assert connection.getresponse().read() == CHUNK * CHUNKS
 
 
-def test_request_beyond_the_workers_is_refused_at_once(
+def test_request_is_refused_at_once_while_all_workers_are_busy(
     serve: Callable[[App], server.Server],
 ) -> None:
     app = App()
@@ -106,7 +106,7 @@
     assert refused.headers["X-Outcome"] == "not_run"
     assert b'"overloaded"' in refused.read()
     assert running.counters.full == 1
-    # The balancer's probe and the scrape are answered all the same.
+    # Probes and scrapes have their own workers, so they are still served.
     assert ask(running, "/healthz").getresponse().read() == b"ok"
     app.released.set()
     assert [each.getresponse().read() for each in held] == [CHUNK, CHUNK]
@@ -125,7 +125,7 @@
     assert running.counters.overflow == 1
 
 
-def test_caller_that_takes_nothing_is_cut_off(
+def test_caller_that_stops_reading_is_disconnected(
     serve: Callable[[App], server.Server],
 ) -> None:
     app = App(CHUNKS * 10)
@@ -134,22 +134,22 @@
     app.released.set()
     wait_for_unsent(running)
     running.maintenance(time.time() + 5)
-    assert not app.gone.is_set()
-    # The kernel's buffers may still grow and take what was unsent.
+    assert not app.disconnected.is_set()
+    # The kernel's buffers may still grow and accept the unsent bytes.
     deadline = time.monotonic() + 20
-    while not app.gone.wait(0.01):
+    while not app.disconnected.wait(0.01):
         assert time.monotonic() < deadline
         running.maintenance(time.time() + 60)
-    assert app.failed.wait(20)
+    assert app.closed_early.wait(20)
     assert running.counters.stalled == 1
     connection.close()
 
 
-def test_nothing_is_written_to_disk(
+def test_buffers_are_not_written_to_disk(
     serve: Callable[[App], server.Server], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def refuse(*args: object) -> None:
-        raise AssertionError("a buffer was spilled to disk")
+        raise AssertionError("a buffer was written to disk")
 
     monkeypatch.setattr(tempfile, "TemporaryFile", refuse)
     app = App(CHUNKS)
@@ -168,7 +168,7 @@
         threading.Event().wait(0.01)
 
 
-def test_end_of_a_callers_connection_is_told(
+def test_disconnect_runs_the_callbacks(
     serve: Callable[[App], server.Server],
 ) -> None:
     app = App(CHUNKS)
@@ -177,6 +177,6 @@
     assert response.read(len(CHUNK)) == CHUNK
     response.close()
     connection.close()
-    assert app.gone.wait(20)
+    assert app.disconnected.wait(20)
     app.released.set()
-    assert app.failed.wait(20)
+    assert app.closed_early.wait(20)
--- a/pollenfork/entry/tests/test_server.py
+++ b/pollenfork/entry/tests/test_worker_pool.py
@@ -1,4 +1,4 @@
-"""The server's workers: a free one is found, a busy one never is."""
+"""The worker pool accepts a task exactly if a thread is free."""
 
 import threading
 
@@ -8,7 +8,7 @@
 
 
 class StartingWorkers(server.WorkerPool):
-    """Workers whose threads have not begun to run yet."""
+    """A pool whose threads have not begun to run yet."""
 
     def start_new_thread(self, target: object, thread_no: int) -> None:
         del target, thread_no
@@ -30,8 +30,8 @@
 def test_worker_that_is_still_starting_counts_as_free() -> None:
     workers = StartingWorkers()
     workers.set_thread_count(1)
-    assert workers.offer(Task())
-    assert not workers.offer(Task())
+    assert workers.try_add_task(Task())
+    assert not workers.try_add_task(Task())
 
 
 @pytest.mark.parametrize("size", [1, 3])
@@ -39,11 +39,11 @@
     workers = server.WorkerPool()
     workers.set_thread_count(size)
     tasks = [Task() for _ in range(size)]
-    assert all(workers.offer(task) for task in tasks)
-    assert not workers.offer(Task())
+    assert all(workers.try_add_task(task) for task in tasks)
+    assert not workers.try_add_task(Task())
     for task in tasks:
         assert task.started.wait(10)
         task.released.set()
-    workers.wait_until_free()
-    assert workers.offer(tasks[0])
+    workers.wait_until_idle()
+    assert workers.try_add_task(tasks[0])
     workers.shutdown()
