--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -36,7 +36,7 @@
 
 
 def measure_requests() -> float:
-    """Returns microseconds for one request's record, logs formatted."""
+    """Returns microseconds for one request's log, logs formatted."""
     with pathlib.Path("/dev/null").open("w") as nowhere:
         handler = logging.StreamHandler(nowhere)
         logger = logging.getLogger("pollenfork")
@@ -55,12 +55,12 @@
 
     def work() -> None:
         for number in range(REQUESTS):
-            record = counted.begin()
-            record.team = ids.Team("linework")
-            record.service_class = ids.ClassName(f"c{number % CLASSES}")
-            record.note_granted(ids.EndpointId("runner-1"))
-            record.note_first()
-            record.note_end(200, ended=True)
+            log = counted.start()
+            log.team = ids.Team("linework")
+            log.service_class = ids.ClassName(f"c{number % CLASSES}")
+            log.record_granted(ids.EndpointId("runner-1"))
+            log.record_first_bytes()
+            log.record_end(200, ended=True)
 
     return work
 
--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -97,7 +97,7 @@
         # Created first, so that peers don't learn of an instance that fails
         # to listen.
         self._server = server.create_server(
-            self._front, self._config, self._front.write_refusal, self._clock
+            self._front, self._config, self._front.record_refusal, self._clock
         )
         try:
             self._start_parts()
--- a/pollenfork/entry/front.py
+++ b/pollenfork/entry/front.py
@@ -1,4 +1,4 @@
-"""The WSGI application towards callers: routes, and what is shared."""
+"""The WSGI application for callers: routing and the built-in paths."""
 
 from collections.abc import Callable, Iterable
 import functools
@@ -32,8 +32,9 @@
 _MODELS = "/v1/models"
 _SERVICES = "/services/"
 _OPERATOR = "/operator/"
-_READ = ("GET", "HEAD")
-# What waitress refuses to send on; each hop has its own.
+_READ_METHODS = ("GET", "HEAD")
+# Hop-by-hop headers, which WSGI applications must not send (PEP 3333);
+# waitress rejects them.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -47,39 +48,40 @@
     }
 )
 
-_Small = result.Result[replies.Reply, errors.Refusal]
+_BuiltinReply = result.Result[replies.Reply, errors.Refusal]
 
 
 class Front:
-    """Answers callers, the balancer's probes and the metrics scrape.
+    """Serves callers, the load balancer's probes and metrics scrapes.
 
     Attributes:
-        in_progress: The requests whose answer isn't handed over yet.
-        journal: Counts and logs each request.
+        in_progress: Counts the requests whose answer isn't handed to the server
+            yet.
+        request_logs: Creates the log of each request.
     """
 
     def __init__(
         self,
-        worker: request_handler.RequestHandler,
+        handler: request_handler.RequestHandler,
         counters: metrics.Metrics,
-        read_lookups: Callable[[], snapshot.Snapshot | None],
+        get_settings: Callable[[], snapshot.Snapshot | None],
         is_ready: Callable[[], bool],
         operator: Callable[[Environ, StartResponse], Iterable[bytes]] | None,
         now: clock.Clock | None = None,
         make_request_id: Callable[[], str] | None = None,
     ) -> None:
-        self._worker = worker
+        self._handler = handler
         self._metrics = counters
-        self._read_lookups = read_lookups
+        self._get_settings = get_settings
         self._is_ready = is_ready
         self._operator = operator
         self.in_progress = progress.InProgress()
-        self.journal = request_log.RequestLogFactory(
+        self.request_logs = request_log.RequestLogFactory(
             counters,
             now or clock.SystemClock(),
             make_request_id or request_log.make_request_id,
         )
-        self._small: dict[str, Callable[[Environ], _Small]] = {
+        self._builtin: dict[str, Callable[[Environ], _BuiltinReply]] = {
             "/healthz": self._report_health,
             "/readyz": self._report_ready,
             "/metrics": self._report_metrics,
@@ -89,7 +91,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Serves one request, as PEP 3333 asks."""
+        """Serves one request, as a WSGI application (PEP 3333)."""
         self.in_progress.enter()
         try:
             chunks = self._serve(environ, start_response)
@@ -98,27 +100,27 @@
             raise
         return progress.CloseOnceChunks(chunks, self.in_progress.leave)
 
-    def write_refusal(
+    def record_refusal(
         self,
         refusal: errors.Refusal,
-        record: request_log.RequestLog | None = None,
+        log: request_log.RequestLog | None = None,
     ) -> replies.Reply:
-        """Counts and logs a refusal and returns what the caller gets."""
-        record = record or self.journal.begin()
-        record.note_refused(refusal)
+        """Counts and logs a refusal and returns the reply to the caller."""
+        log = log or self.request_logs.start()
+        log.record_refused(refusal)
         reply = replies.make_refusal(refusal)
-        reply.headers.append(("X-Request-Id", record.request))
+        reply.headers.append(("X-Request-Id", log.request))
         return reply
 
     def _serve(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        record = self.journal.begin()
+        log = self.request_logs.start()
         try:
-            return self._route(environ, start_response, record)
+            return self._route(environ, start_response, log)
         except Exception:
-            _LOG.exception("event=request_failed request=%s", record.request)
-            reply = self.write_refusal(_make_internal_error(), record)
+            _LOG.exception("event=request_failed request=%s", log.request)
+            reply = self.record_refusal(_make_internal_error(), log)
             method = environ["REQUEST_METHOD"]
             return replies.send_reply(
                 start_response, reply, method, sys.exc_info()
@@ -128,7 +130,7 @@
         self,
         environ: Environ,
         start_response: StartResponse,
-        record: request_log.RequestLog,
+        log: request_log.RequestLog,
     ) -> Iterable[bytes]:
         path = environ["PATH_INFO"]
         if path.startswith(_OPERATOR) and self._operator:
@@ -137,43 +139,43 @@
         if checked.is_err():
             refusal = checked.unwrap_err()
         elif path in _COMPLETIONS or path.startswith(_SERVICES):
-            served = self._serve_work(environ, record)
+            served = self._handle_request(environ, log)
             if served.is_ok():
-                return self._pass_on(served.unwrap(), start_response, record)
+                return self._send_answer(served.unwrap(), start_response, log)
             refusal = served.unwrap_err()
         else:
-            small = self._serve_small(path, environ)
-            if small.is_ok():
+            builtin = self._serve_builtin(path, environ)
+            if builtin.is_ok():
                 method = environ["REQUEST_METHOD"]
                 return replies.send_reply(
-                    start_response, small.unwrap(), method
+                    start_response, builtin.unwrap(), method
                 )
-            refusal = small.unwrap_err()
-        reply = self.write_refusal(refusal, record)
+            refusal = builtin.unwrap_err()
+        reply = self.record_refusal(refusal, log)
         method = environ["REQUEST_METHOD"]
         return replies.send_reply(start_response, reply, method)
 
-    def _serve_work(
-        self, environ: Environ, record: request_log.RequestLog
+    def _handle_request(
+        self, environ: Environ, log: request_log.RequestLog
     ) -> request_handler.Served:
-        lookups = self._read_lookups()
-        if lookups is None or not self._is_ready():
+        settings = self._get_settings()
+        if settings is None or not self._is_ready():
             return result.Err(_make_not_ready())
         if environ["PATH_INFO"] not in _COMPLETIONS:
-            return self._worker.call_service(environ, lookups, record)
+            return self._handler.handle_service_call(environ, settings, log)
         checked = request.check_method(environ, ("POST",))
         if checked.is_err():
             return result.Err(checked.unwrap_err())
-        return self._worker.complete(environ, lookups, record)
+        return self._handler.handle_completion(environ, settings, log)
 
-    def _pass_on(
+    def _send_answer(
         self,
         answer: session.Answer,
         start_response: StartResponse,
-        record: request_log.RequestLog,
+        log: request_log.RequestLog,
     ) -> Iterable[bytes]:
         headers = _list_headers(answer)
-        headers.append(("X-Request-Id", record.request))
+        headers.append(("X-Request-Id", log.request))
         try:
             start_response(replies.format_status(answer.status), headers)
         except BaseException:
@@ -181,12 +183,12 @@
             raise
         return progress.ObservedChunks(
             answer.chunks,
-            record.note_first,
-            functools.partial(record.note_end, answer.status),
+            log.record_first_bytes,
+            functools.partial(log.record_end, answer.status),
         )
 
-    def _serve_small(self, path: str, environ: Environ) -> _Small:
-        serve = self._small.get(path)
+    def _serve_builtin(self, path: str, environ: Environ) -> _BuiltinReply:
+        serve = self._builtin.get(path)
         if path.startswith(_MODELS + "/"):
             serve = self._show_model
         if serve is None:
@@ -195,37 +197,37 @@
                 errors.Code.UNKNOWN_PATH,
                 "There is nothing at this path; see docs/http.md.",
             )
-        checked = request.check_method(environ, _READ)
+        checked = request.check_method(environ, _READ_METHODS)
         if checked.is_err():
             return result.Err(checked.unwrap_err())
         return serve(environ)
 
-    def _report_health(self, environ: Environ) -> _Small:
+    def _report_health(self, environ: Environ) -> _BuiltinReply:
         del environ
         return result.Ok(replies.make_text(http.HTTPStatus.OK, "ok"))
 
-    def _report_ready(self, environ: Environ) -> _Small:
+    def _report_ready(self, environ: Environ) -> _BuiltinReply:
         del environ
         status, text = http.HTTPStatus.SERVICE_UNAVAILABLE, "not ready"
-        if self._is_ready() and self._read_lookups():
+        if self._is_ready() and self._get_settings():
             status, text = http.HTTPStatus.OK, "ready"
         return result.Ok(replies.make_text(status, text))
 
-    def _report_metrics(self, environ: Environ) -> _Small:
+    def _report_metrics(self, environ: Environ) -> _BuiltinReply:
         del environ
         body, kind = self._metrics.render()
         headers = [("Content-Type", kind)]
         return result.Ok(replies.Reply(http.HTTPStatus.OK, headers, body))
 
-    def _list_models(self, environ: Environ) -> _Small:
-        names = self._read_models(environ)
+    def _list_models(self, environ: Environ) -> _BuiltinReply:
+        names = self._list_model_names(environ)
         if names.is_err():
             return result.Err(names.unwrap_err())
         listed = _ModelList(data=[_Model(id=n) for n in names.unwrap()])
         return result.Ok(replies.make_json(listed))
 
-    def _show_model(self, environ: Environ) -> _Small:
-        names = self._read_models(environ)
+    def _show_model(self, environ: Environ) -> _BuiltinReply:
+        names = self._list_model_names(environ)
         if names.is_err():
             return result.Err(names.unwrap_err())
         name = environ["PATH_INFO"][len(_MODELS) + 1 :]
@@ -233,17 +235,17 @@
             return request_handler.refuse_model(name)
         return result.Ok(replies.make_json(_Model(id=name)))
 
-    def _read_models(
+    def _list_model_names(
         self, environ: Environ
     ) -> result.Result[list[ids.ModelName], errors.Refusal]:
-        lookups = self._read_lookups()
-        if lookups is None:
+        settings = self._get_settings()
+        if settings is None:
             return result.Err(_make_not_ready())
-        authenticated = request.authenticate(environ, lookups)
+        authenticated = request.authenticate(environ, settings)
         if authenticated.is_err():
             return result.Err(authenticated.unwrap_err())
         return result.Ok(
-            request_handler.list_models(lookups.tree.root.endpoints)
+            request_handler.list_models(settings.tree.root.endpoints)
         )
 
 
@@ -265,8 +267,11 @@
         for name, value in answer.headers
         if name.lower() not in _HOP_BY_HOP
     ]
-    stated = any(name.lower() == "x-outcome" for name, _ in headers)
-    if answer.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR and not stated:
+    has_outcome = any(name.lower() == "x-outcome" for name, _ in headers)
+    if (
+        answer.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
+        and not has_outcome
+    ):
         headers.append(("X-Outcome", failures.Outcome.UNKNOWN.value))
     return headers
 
--- a/pollenfork/entry/request.py
+++ b/pollenfork/entry/request.py
@@ -1,4 +1,4 @@
-"""A caller's HTTP request, checked and typed."""
+"""Validation and parsing of callers' HTTP requests."""
 
 from collections.abc import Mapping
 import http
@@ -23,10 +23,10 @@
 _PREFIX_BYTES = 1024
 _BYTES_PER_TOKEN = 4
 _BEARER = "bearer "
-_FIELD = re.compile(r"required field `(\w+)`|`\$\.(\w+)")
+_FIELD_NAME = re.compile(r"required field `(\w+)`|`\$\.(\w+)")
 
-_Count = Annotated[int, msgspec.Meta(ge=0)]
-_Choices = Annotated[int, msgspec.Meta(ge=1)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+_PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
 
 
 class Prompt(msgspec.Struct):
@@ -36,22 +36,22 @@
     stream: bool | None = None
     messages: msgspec.Raw = msgspec.Raw()
     prompt: msgspec.Raw = msgspec.Raw()
-    max_tokens: _Count | None = None
-    max_completion_tokens: _Count | None = None
-    n: _Choices | None = None
+    max_tokens: _NonNegativeInt | None = None
+    max_completion_tokens: _NonNegativeInt | None = None
+    n: _PositiveInt | None = None
     continue_from: msgspec.Raw = msgspec.Raw()
 
-    def read_limit(self) -> int | None:
-        """Returns the caller's own bound on the answer's tokens."""
+    def get_max_tokens(self) -> int | None:
+        """Returns the caller's limit on the answer's tokens, if any."""
         return self.max_completion_tokens or self.max_tokens
 
-    def read_text(self) -> bytes:
-        """Returns the messages or the prompt, as they stand in the body."""
+    def get_text(self) -> bytes:
+        """Returns the messages or the prompt as raw JSON from the body."""
         return bytes(self.messages) or bytes(self.prompt)
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who asks, and in which class."""
+    """The account behind a request and the class that it runs in."""
 
     caller: snapshot.Caller
     class_name: ids.ClassName
@@ -62,7 +62,7 @@
 
 
 def check_head(environ: Environ) -> result.Result[None, errors.Refusal]:
-    """Refuses a request line or headers beyond what a caller needs."""
+    """Refuses a request target that is too long, or too many headers."""
     if len(environ.get("REQUEST_URI", "")) > MAX_TARGET_LENGTH:
         return errors.refuse(
             http.HTTPStatus.REQUEST_URI_TOO_LONG,
@@ -82,7 +82,7 @@
 def check_method(
     environ: Environ, allowed: tuple[str, ...]
 ) -> result.Result[None, errors.Refusal]:
-    """Refuses a method that the path doesn't have."""
+    """Refuses a method that isn't allowed."""
     method = environ["REQUEST_METHOD"]
     if method in allowed:
         return result.Ok(None)
@@ -97,7 +97,7 @@
 def authenticate(
     environ: Environ, lookups: snapshot.Snapshot
 ) -> result.Result[snapshot.Caller, errors.Refusal]:
-    """Returns whose key the request carries."""
+    """Returns the caller that the request's API key belongs to."""
     header = environ.get("HTTP_AUTHORIZATION", "")
     scheme, key = header[: len(_BEARER)], header[len(_BEARER) :].strip()
     if scheme.lower() != _BEARER or not key:
@@ -111,7 +111,7 @@
 def choose_class(
     environ: Environ, caller: snapshot.Caller, lookups: snapshot.Snapshot
 ) -> result.Result[Identity, errors.Refusal]:
-    """Returns the class that the caller names, or its account's own."""
+    """Returns the class from the header, or else the account's default."""
     name = ids.ClassName(
         environ.get(CLASS_HEADER) or caller.settings.default_class
     )
@@ -143,7 +143,12 @@
 def parse_prompt(
     body: bytes, chat: bool
 ) -> result.Result[Prompt, errors.Refusal]:
-    """Returns what the router needs of a completion request."""
+    """Parses the fields of a completion request that the router uses.
+
+    Args:
+        body: The request's body.
+        chat: Whether it is a chat completion.
+    """
     try:
         if not body.isascii():
             body.decode()
@@ -176,25 +181,25 @@
 
 
 def hash_prefix(prompt: Prompt) -> int:
-    """Returns a hash of the prompt's head, equal for equal heads."""
-    return xxhash.xxh3_64_intdigest(prompt.read_text()[:_PREFIX_BYTES])
+    """Returns a hash of the first bytes of the prompt."""
+    return xxhash.xxh3_64_intdigest(prompt.get_text()[:_PREFIX_BYTES])
 
 
 def estimate_tokens(prompt: Prompt) -> int:
-    """Returns about how many tokens the prompt has."""
-    return len(prompt.read_text()) // _BYTES_PER_TOKEN
+    """Returns an estimate of the prompt's length in tokens."""
+    return len(prompt.get_text()) // _BYTES_PER_TOKEN
 
 
 def shorten(text: str) -> str:
-    """Returns the caller's text, cut for an error's detail."""
+    """Returns text from a caller, truncated for an error message."""
     if len(text) <= _MAX_QUOTED_LENGTH:
         return text
     return text[:_MAX_QUOTED_LENGTH] + "..."
 
 
 def _find_param(detail: str) -> str | None:
-    """Returns the field that an error of msgspec's is about."""
-    found = _FIELD.search(detail)
+    """Returns the field that is named in an error message of msgspec."""
+    found = _FIELD_NAME.search(detail)
     return found[1] or found[2] if found else None
 
 
--- a/pollenfork/entry/request_handler.py
+++ b/pollenfork/entry/request_handler.py
@@ -1,4 +1,4 @@
-"""The course of one request: classed, queued, dispatched, relayed."""
+"""Handles a request: authenticates, queues and relays it to an endpoint."""
 
 from collections.abc import Callable, Mapping
 import concurrent.futures
@@ -25,12 +25,12 @@
 from pollenfork.settings import model
 from pollenfork.settings import snapshot
 
-CALLER_KEY = "pollenfork.caller"  # The caller's connection, in the environ.
+CALLER_KEY = "pollenfork.caller"  # WSGI environ key of the connection.
 
-_CHECK_CALLER_S = 0.25
+_DISCONNECT_POLL_S = 0.25
 _MS = 1000
 _CHAT = "/v1/chat/completions"
-_NO_METHODS = frozenset({"CONNECT", "TRACE"})
+_UNSUPPORTED_METHODS = frozenset({"CONNECT", "TRACE"})
 _SERVICE_METHODS = (
     "GET",
     "HEAD",
@@ -45,18 +45,18 @@
 
 
 class Slots(session.Slots, Protocol):
-    """The scheduler as the entry needs it."""
+    """The part of the scheduler that the entry uses."""
 
     def submit(
         self, ask: admission_messages.Ask
     ) -> concurrent.futures.Future[
         dispatch_messages.Grant | admission_messages.Refused
     ]:
-        """Asks for a slot."""
+        """Queues the request for a slot; the result is the decision."""
 
 
 class RequestHandler:
-    """Takes a request from its head to the answer's first byte."""
+    """Handles requests until the head of their answer is there."""
 
     def __init__(
         self,
@@ -66,30 +66,30 @@
         body_limit: int,
         claims: idempotency.Claims | None = None,
     ) -> None:
-        """Makes the worker.
+        """Creates the handler.
 
         Args:
             slots: The scheduler.
-            relay: Opens answers at endpoints.
+            relay: Sends requests to endpoints and relays their answers.
             now: The clock.
-            body_limit: Bytes of a request's body.
+            body_limit: Maximum size of a request's body, in bytes.
             claims: The ledger; without one, requests with an
                 `Idempotency-Key` are refused.
         """
-        self._keyed = idempotency.IdempotencyGuard(claims, now)
+        self._idempotency = idempotency.IdempotencyGuard(claims, now)
         self._slots = slots
         self._relay = relay
         self._clock = now
         self._body_limit = body_limit
 
-    def complete(
+    def handle_completion(
         self,
         environ: request.Environ,
-        lookups: snapshot.Snapshot,
-        record: request_log.RequestLog,
+        settings: snapshot.Snapshot,
+        log: request_log.RequestLog,
     ) -> Served:
-        """Serves a completion by a model runner."""
-        identified = self._identify(environ, lookups, record)
+        """Runs a completion request on a model runner."""
+        identified = self._identify(environ, settings, log)
         if identified.is_err():
             return result.Err(identified.unwrap_err())
         read = request.read_body(environ, self._body_limit)
@@ -100,10 +100,10 @@
         if parsed.is_err():
             return result.Err(parsed.unwrap_err())
         prompt = parsed.unwrap()
-        if prompt.model not in list_models(lookups.tree.root.endpoints):
+        if prompt.model not in list_models(settings.tree.root.endpoints):
             return refuse_model(prompt.model)
         identity = identified.unwrap()
-        ask = admission_asks.make_model_ask(identity, lookups, record, prompt)
+        ask = admission_asks.make_model_ask(identity, settings, log, prompt)
         call = answer_messages.Call(
             request=ask.request,
             method="POST",
@@ -115,43 +115,43 @@
             first_token_due=ask.first_token_due,
             give_up_at=ask.give_up_at,
         )
-        return self._run(environ, ask, call, record)
+        return self._run(environ, ask, call, log)
 
-    def call_service(
+    def handle_service_call(
         self,
         environ: request.Environ,
-        lookups: snapshot.Snapshot,
-        record: request_log.RequestLog,
+        settings: snapshot.Snapshot,
+        log: request_log.RequestLog,
     ) -> Served:
-        """Passes a call on to a plain service."""
+        """Forwards a call to a plain service."""
         method = environ["REQUEST_METHOD"]
-        if method in _NO_METHODS:
+        if method in _UNSUPPORTED_METHODS:
             refused = request.check_method(environ, _SERVICE_METHODS)
             return result.Err(refused.unwrap_err())
         located = target.parse_service_target(environ)
         if located.is_err():
             return result.Err(located.unwrap_err())
-        identified = self._identify(environ, lookups, record)
+        identified = self._identify(environ, settings, log)
         if identified.is_err():
             return result.Err(identified.unwrap_err())
-        place = located.unwrap()
-        service = lookups.tree.root.services.get(place.service)
+        service_target = located.unwrap()
+        service = settings.tree.root.services.get(service_target.service)
         if service is None:
-            return _refuse_service(place.service)
+            return _refuse_service(service_target.service)
         read = request.read_body(environ, self._body_limit)
         if read.is_err():
             return result.Err(read.unwrap_err())
         ask = admission_asks.make_service_ask(
             identified.unwrap(),
-            lookups,
-            record,
-            place.service,
+            settings,
+            log,
+            service_target.service,
             idempotent=method in service.repeatable_methods,
         )
         call = answer_messages.Call(
             request=ask.request,
             method=method,
-            path=place.path,
+            path=service_target.path,
             headers=target.list_service_headers(environ),
             body=read.unwrap(),
             streamed=False,
@@ -162,22 +162,22 @@
             engine=False,
             continuable=False,
         )
-        return self._run(environ, ask, call, record)
+        return self._run(environ, ask, call, log)
 
     def _identify(
         self,
         environ: request.Environ,
-        lookups: snapshot.Snapshot,
-        record: request_log.RequestLog,
+        settings: snapshot.Snapshot,
+        log: request_log.RequestLog,
     ) -> result.Result[request.Identity, errors.Refusal]:
-        authenticated = request.authenticate(environ, lookups)
+        authenticated = request.authenticate(environ, settings)
         if authenticated.is_err():
             return result.Err(authenticated.unwrap_err())
         caller = authenticated.unwrap()
-        record.note_caller(caller)
-        chosen = request.choose_class(environ, caller, lookups)
+        log.set_caller(caller)
+        chosen = request.choose_class(environ, caller, settings)
         if chosen.is_ok():
-            record.service_class = chosen.unwrap().class_name
+            log.service_class = chosen.unwrap().class_name
         return chosen
 
     def _run(
@@ -185,18 +185,18 @@
         environ: request.Environ,
         ask: admission_messages.Ask,
         call: answer_messages.Call,
-        record: request_log.RequestLog,
+        log: request_log.RequestLog,
     ) -> Served:
         header = environ.get(idempotency.HEADER)
         if header is None or (ask.service and ask.idempotent):
             caller = environ.get(CALLER_KEY)
-            return self._run_once(environ, ask, call, record, caller)
-        return self._keyed.run(
+            return self._run_once(environ, ask, call, log, caller)
+        return self._idempotency.run(
             header,
             ask,
             call,
             lambda may_send: self._run_once(
-                environ, ask, call, record, None, may_send
+                environ, ask, call, log, None, may_send
             ),
         )
 
@@ -205,23 +205,23 @@
         environ: request.Environ,
         ask: admission_messages.Ask,
         call: answer_messages.Call,
-        record: request_log.RequestLog,
+        log: request_log.RequestLog,
         caller: answer_edges.Caller | None,
         may_send: Callable[[], bool] | None = None,
     ) -> Served:
         decision = self._wait_for_slot(environ, ask)
         if isinstance(decision, admission_messages.Refused):
             return result.Err(errors.make_admission_refusal(decision))
-        record.note_granted(decision.endpoint)
+        log.record_granted(decision.endpoint)
         if may_send and not may_send():
-            self._give_back(decision)
-            return _refuse_lapsed()
+            self._release(decision)
+            return _refuse_expired_claim()
         opened = self._relay.open(call, decision, caller)
         if opened.is_err():
-            return result.Err(_describe_failure(opened.unwrap_err()))
+            return result.Err(_make_failure_refusal(opened.unwrap_err()))
         return result.Ok(opened.unwrap())
 
-    def _give_back(self, grant: dispatch_messages.Grant) -> None:
+    def _release(self, grant: dispatch_messages.Grant) -> None:
         ended = dispatch_messages.AttemptEnded(
             attempt=grant.attempt,
             how=dispatch_messages.AttemptEnd.NEVER_SENT,
@@ -236,12 +236,14 @@
         self, environ: request.Environ, ask: admission_messages.Ask
     ) -> dispatch_messages.Grant | admission_messages.Refused:
         pending = self._slots.submit(ask)
-        is_gone = environ.get("waitress.client_disconnected", lambda: False)
+        is_disconnected = environ.get(
+            "waitress.client_disconnected", lambda: False
+        )
         while True:
             try:
-                return pending.result(timeout=_CHECK_CALLER_S)
+                return pending.result(timeout=_DISCONNECT_POLL_S)
             except concurrent.futures.TimeoutError:
-                if is_gone():
+                if is_disconnected():
                     withdrawn = admission_messages.Withdrawn(
                         request=ask.request
                     )
@@ -251,7 +253,7 @@
 def list_models(
     endpoints: Mapping[ids.EndpointId, model.EndpointSettings],
 ) -> list[ids.ModelName]:
-    """Returns the names of the models that any endpoint has by plan."""
+    """Returns the names of all models that the settings give an endpoint."""
     names = {
         ids.ModelName(name.partition("@")[0])
         for endpoint in endpoints.values()
@@ -260,7 +262,9 @@
     return sorted(names)
 
 
-def _describe_failure(failure: answer_errors.AnswerFailure) -> errors.Refusal:
+def _make_failure_refusal(
+    failure: answer_errors.AnswerFailure,
+) -> errors.Refusal:
     not_run = failure.outcome is failures.Outcome.NOT_RUN
     said = "was not run" if not_run else "may have run"
     code = errors.Code.ENDPOINT_FAILED
@@ -277,7 +281,7 @@
 
 
 def refuse_model(name: str) -> result.Err[errors.Refusal]:
-    """Returns the refusal of a model that no endpoint has."""
+    """Returns the refusal for a model that no endpoint has."""
     return errors.refuse(
         http.HTTPStatus.NOT_FOUND,
         errors.Code.UNKNOWN_MODEL,
@@ -287,7 +291,7 @@
     )
 
 
-def _refuse_lapsed() -> result.Err[errors.Refusal]:
+def _refuse_expired_claim() -> result.Err[errors.Refusal]:
     return errors.refuse(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         errors.Code.RECORD_UNAVAILABLE,
--- a/pollenfork/entry/request_log.py
+++ b/pollenfork/entry/request_log.py
@@ -1,4 +1,4 @@
-"""What the entry counts and logs of each request."""
+"""Metrics and log lines of each caller's request."""
 
 from collections.abc import Callable
 import enum
@@ -17,27 +17,29 @@
 
 
 class AnswerEnd(enum.Enum):
-    """How the passing on of an answer ended."""
+    """How sending an answer to the caller ended."""
 
-    ENDED = "ended"  # The caller got its last byte.
+    ENDED = "ended"  # Every byte was passed on.
     CALLER_GONE = "caller_gone"
 
 
 def make_request_id() -> str:
-    """Returns an id that no other request has."""
+    """Returns a new, unique request id."""
     return uuid.uuid4().hex
 
 
 class RequestLog:
-    """The course of one request: counts and logs each step.
+    """Counts and logs the steps of one request.
 
-    Labels are bounded: teams and classes are the settings', and an account
-    is never a label.
+    The number of label values is bounded: teams and classes come from the
+    settings, and accounts are never a label.
 
     Attributes:
-        request: Its id.
-        arrived: Monotonic seconds.
-        team: Empty until the key is known; likewise the next two.
+        request: The request's id.
+        arrived_at: Monotonic time of arrival, in seconds.
+        team: Empty until the caller's key is checked.
+        account: Empty until the caller's key is checked.
+        service_class: Empty until the class is chosen.
     """
 
     def __init__(
@@ -47,20 +49,20 @@
         request: ids.RequestId,
     ) -> None:
         self.request = request
-        self.arrived = now.monotonic()
+        self.arrived_at = now.monotonic()
         self.team = ids.Team("")
         self.account = ids.AccountId("")
         self.service_class = ids.ClassName("")
         self._metrics = counters
         self._clock = now
 
-    def note_caller(self, caller: snapshot.Caller) -> None:
-        """Notes whose key the request carries."""
+    def set_caller(self, caller: snapshot.Caller) -> None:
+        """Sets the team and account that the request's key belongs to."""
         self.team = caller.team
         self.account = caller.account
 
-    def note_refused(self, refusal: errors.Refusal) -> None:
-        """Counts and logs a request that gets no answer."""
+    def record_refused(self, refusal: errors.Refusal) -> None:
+        """Counts and logs a refused request."""
         reason = refusal.reason or refusal.code.value
         self._metrics.count(
             "pollenfork_refusals_total",
@@ -84,8 +86,8 @@
             self._measure_ms(),
         )
 
-    def note_granted(self, endpoint: ids.EndpointId) -> None:
-        """Counts and logs that a request may go to an endpoint."""
+    def record_granted(self, endpoint: ids.EndpointId) -> None:
+        """Observes the queueing time and logs the granted endpoint."""
         self._observe("pollenfork_request_wait_seconds")
         _LOG.info(
             "event=granted request=%s team=%s class=%s endpoint=%s wait_ms=%d",
@@ -96,12 +98,12 @@
             self._measure_ms(),
         )
 
-    def note_first(self) -> None:
-        """Counts the first bytes of an answer on their way to the caller."""
+    def record_first_bytes(self) -> None:
+        """Observes the time until the first bytes of the answer."""
         self._observe("pollenfork_first_token_seconds")
 
-    def note_end(self, status: int, ended: bool) -> None:
-        """Counts and logs an answer that is passed on, or given up."""
+    def record_end(self, status: int, ended: bool) -> None:
+        """Counts and logs an answer that was sent whole or broken off."""
         end = AnswerEnd.ENDED if ended else AnswerEnd.CALLER_GONE
         self._metrics.count(
             "pollenfork_answers_total",
@@ -127,17 +129,17 @@
     def _observe(self, name: str) -> None:
         self._metrics.observe(
             name,
-            self._clock.monotonic() - self.arrived,
+            self._clock.monotonic() - self.arrived_at,
             team=self.team,
             service_class=self.service_class,
         )
 
     def _measure_ms(self) -> int:
-        return math.floor((self._clock.monotonic() - self.arrived) * _MS)
+        return math.floor((self._clock.monotonic() - self.arrived_at) * _MS)
 
 
 class RequestLogFactory:
-    """Opens the records of requests; safe from any thread."""
+    """Creates the logs of requests; thread-safe."""
 
     def __init__(
         self,
@@ -149,7 +151,7 @@
         self._clock = now
         self._make_id = make_id
 
-    def begin(self) -> RequestLog:
-        """Opens the record of a request that has just arrived."""
+    def start(self) -> RequestLog:
+        """Returns the log of a request that has just arrived."""
         request = ids.RequestId(self._make_id())
         return RequestLog(self._metrics, self._clock, request)
--- a/pollenfork/entry/tests/test_front.py
+++ b/pollenfork/entry/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The WSGI application against a worker that each test scripts."""
+"""The WSGI application with a fake request handler."""
 
 from collections.abc import Iterable, Iterator
 import json
@@ -16,7 +16,7 @@
 
 
 class Chunks(Iterator[bytes]):
-    """Two chunks that count how often they are closed."""
+    """Two chunks; counts the calls of `close`."""
 
     def __init__(self) -> None:
         self.closed = 0
@@ -31,27 +31,27 @@
         self.closed += 1
 
 
-class Worker:
-    """Answers, refuses or fails as told."""
+class Handler:
+    """Returns or raises the given result."""
 
     def __init__(self, served: Any) -> None:
         self.served = served
 
-    def complete(self, environ: Any, lookups: Any, record: Any) -> Any:
+    def handle_completion(self, environ: Any, settings: Any, log: Any) -> Any:
         if isinstance(self.served, Exception):
             raise self.served
         return self.served
 
 
 class Server:
-    """Calls the application as a WSGI server does."""
+    """Calls the application like a WSGI server."""
 
     def __init__(self, served: Any, ready: bool = True) -> None:
-        lookups = snapshot.Snapshot(model.Tree(root=model.RootSettings()))
+        settings = snapshot.Snapshot(model.Tree(root=model.RootSettings()))
         self.front = front.Front(
-            Worker(served),  # type: ignore[arg-type]
+            Handler(served),  # type: ignore[arg-type]
             metrics.Metrics(),
-            lambda: lookups,
+            lambda: settings,
             lambda: ready,
             None,
         )
@@ -100,7 +100,7 @@
         (REFUSED, True, "/healthz"),
     ],
 )
-def test_small_reply_is_in_progress_until_closed(
+def test_builtin_reply_is_in_progress_until_closed(
     served: Any, ready: bool, path: str
 ) -> None:
     server = Server(served, ready)
@@ -128,7 +128,7 @@
     assert server.front.in_progress.count == 0
 
 
-def test_failure_of_the_router_is_told_as_unknown(
+def test_internal_error_has_an_unknown_outcome(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     server = Server(OSError("lost"))
--- a/pollenfork/entry/tests/test_listener.py
+++ b/pollenfork/entry/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""What the server refuses before the application, byte by byte."""
+"""Raw requests that the server refuses before the application."""
 
 from collections.abc import Iterator
 import json
@@ -17,8 +17,8 @@
 BODY_LIMIT = 1000
 
 
-class Site:
-    """A listener on loopback before an application that counts its calls."""
+class Harness:
+    """A listener on the loopback interface; counts calls of its application."""
 
     def __init__(self) -> None:
         self.metrics = metrics.Metrics()
@@ -26,22 +26,22 @@
         self.calls = 0
         self._received = 0
         self._more = threading.Condition()
-        site = self
+        harness = self
 
         class CountingChannel(listener.Channel):
             def received(self, data: bytes) -> bool:
-                taken = super().received(data)
-                with site._more:
-                    site._received += len(data)
-                    site._more.notify_all()
-                return taken
+                consumed = super().received(data)
+                with harness._more:
+                    harness._received += len(data)
+                    harness._more.notify_all()
+                return consumed
 
         class CountingListener(listener.Listener):
             channel_class = CountingChannel
 
-        no_work: Any = None
+        no_handler: Any = None
         entry = front.Front(
-            no_work, self.metrics, lambda: None, lambda: True, None
+            no_handler, self.metrics, lambda: None, lambda: True, None
         )
 
         def app(environ: Any, start_response: Any) -> Any:
@@ -52,7 +52,7 @@
 
         self.listener = CountingListener(
             app,
-            entry.write_refusal,
+            entry.record_refusal,
             self.clock,
             listen="127.0.0.1:0",
             threads=4,
@@ -99,8 +99,8 @@
 
 
 @pytest.fixture
-def site() -> Iterator[Site]:
-    started = Site()
+def harness() -> Iterator[Harness]:
+    started = Harness()
     yield started
     started.stop()
 
@@ -117,7 +117,7 @@
         400,
         "malformed_request",
     ),
-    "length no number": (
+    "length not a number": (
         HEAD + b"Content-Length: x\r\n\r\n",
         400,
         "malformed_request",
@@ -173,23 +173,23 @@
 
 @pytest.mark.parametrize("case", REFUSED)
 def test_refused_before_the_application(
-    site: Site, caplog: pytest.LogCaptureFixture, case: str
+    harness: Harness, caplog: pytest.LogCaptureFixture, case: str
 ) -> None:
     caplog.set_level(logging.INFO)
     raw, status, code = REFUSED[case]
-    answer = site.exchange(raw)
+    answer = harness.exchange(raw)
     assert answer.status == status
     assert answer.headers["X-Outcome"] == "not_run"
     assert answer.headers["Connection"] == "close"
     assert json.loads(answer.body)["error"]["code"] == code
-    assert site.calls == 0
-    exposition = site.metrics.render()[0].decode()
+    assert harness.calls == 0
+    exposition = harness.metrics.render()[0].decode()
     assert f'code="{code}"' in exposition
     assert caplog.text.count("event=refused") == 1
 
 
-def test_failure_of_the_application_is_told_as_unknown(site: Site) -> None:
-    answer = site.exchange(b"GET /breaks HTTP/1.1\r\nHost: x\r\n\r\n")
+def test_application_error_has_an_unknown_outcome(harness: Harness) -> None:
+    answer = harness.exchange(b"GET /breaks HTTP/1.1\r\nHost: x\r\n\r\n")
     assert answer.status == 500
     assert answer.headers["X-Outcome"] == "unknown"
     assert json.loads(answer.body)["error"]["code"] == "internal_error"
@@ -206,44 +206,46 @@
     ],
 )
 def test_caller_that_sends_too_slowly_is_refused(
-    site: Site, sent: bytes
+    harness: Harness, sent: bytes
 ) -> None:
-    with site.connect() as caller:
+    with harness.connect() as caller:
         for byte in sent:
             caller.sendall(bytes([byte]))
-        site.wait_until_received(len(sent))
-        site.clock.advance(listener.RECEIVE_TIMEOUT_S)
-        site.listener.check_callers_now()
-        assert "refusals" not in site.metrics.render()[0].decode()
-        site.clock.advance(1)
-        site.listener.check_callers_now()
+        harness.wait_until_received(len(sent))
+        harness.clock.advance(listener.RECEIVE_TIMEOUT_S)
+        harness.listener.run_maintenance_now()
+        assert "refusals" not in harness.metrics.render()[0].decode()
+        harness.clock.advance(1)
+        harness.listener.run_maintenance_now()
         answer = read_answer(caller)
     assert answer.status == 408
     assert answer.headers["X-Outcome"] == "not_run"
     assert json.loads(answer.body)["error"]["code"] == "request_too_slow"
-    assert site.calls == 0
+    assert harness.calls == 0
 
 
-def test_request_in_time_is_served(site: Site) -> None:
-    with site.connect() as caller:
+def test_request_in_time_is_served(harness: Harness) -> None:
+    with harness.connect() as caller:
         head = b"GET /healthz HTTP/1.1\r\nHost: x\r\n"
         caller.sendall(head)
-        site.wait_until_received(len(head))
-        site.clock.advance(listener.RECEIVE_TIMEOUT_S / 2)
-        site.listener.check_callers_now()
+        harness.wait_until_received(len(head))
+        harness.clock.advance(listener.RECEIVE_TIMEOUT_S / 2)
+        harness.listener.run_maintenance_now()
         caller.sendall(b"Connection: close\r\n\r\n")
         answer = read_answer(caller)
     assert answer.status == 200
     assert answer.body == b"ok\n"
 
 
-def test_refused_caller_that_goes_on_sending_is_cut_off(site: Site) -> None:
-    with site.connect() as caller:
+def test_refused_caller_that_keeps_sending_is_disconnected(
+    harness: Harness,
+) -> None:
+    with harness.connect() as caller:
         caller.sendall(HEAD + b"Content-Length: 9999\r\n\r\n")
         answer = read_answer(caller)
         assert answer.status == 413
-        site.clock.advance(listener.LINGER_TIMEOUT_S + 1)
-        site.listener.check_callers_now()
+        harness.clock.advance(listener.LINGER_TIMEOUT_S + 1)
+        harness.listener.run_maintenance_now()
         with pytest.raises(OSError):
             for _ in range(10_000):
                 caller.sendall(b"x" * 1000)
--- a/pollenfork/entry/tests/test_journal.py
+++ b/pollenfork/entry/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""What is counted of a request, and that labels stay bounded."""
+"""Metrics of requests, and the bound on the number of label values."""
 
 from pollenfork import clock
 from pollenfork import ids
@@ -13,18 +13,18 @@
     )
 
 
-def test_times_count_from_the_arrival() -> None:
+def test_times_are_measured_from_arrival() -> None:
     now = clock.ManualClock()
     counters = metrics.Metrics()
-    record = request_log.RequestLogFactory(counters, now, lambda: "r").begin()
-    record.team = ids.Team("linework")
-    record.service_class = ids.ClassName("morning")
+    log = request_log.RequestLogFactory(counters, now, lambda: "r").start()
+    log.team = ids.Team("linework")
+    log.service_class = ids.ClassName("morning")
     now.advance(0.2)
-    record.note_granted(ids.EndpointId("runner-1"))
+    log.record_granted(ids.EndpointId("runner-1"))
     now.advance(0.5)
-    record.note_first()
+    log.record_first_bytes()
     now.advance(8)
-    record.note_end(200, ended=True)
+    log.record_end(200, ended=True)
     samples = read_samples(counters)
     labels = '{service_class="morning",team="linework"}'
     sums = {
@@ -38,12 +38,12 @@
     }
 
 
-def test_answer_given_up_by_its_caller_has_no_whole_time() -> None:
+def test_answer_is_not_timed_if_its_caller_disconnects() -> None:
     counters = metrics.Metrics()
-    record = request_log.RequestLogFactory(
+    log = request_log.RequestLogFactory(
         counters, clock.ManualClock(), lambda: "r"
-    ).begin()
-    record.note_end(200, ended=False)
+    ).start()
+    log.record_end(200, ended=False)
     samples = read_samples(counters)
     assert list(samples) == [
         'pollenfork_answers_total{end="caller_gone",service_class="",'
@@ -76,7 +76,7 @@
     assert len(counts) == metrics.MAX_HISTOGRAM_SERIES + 1
 
 
-def test_name_that_a_team_chose_stays_inside_its_label() -> None:
+def test_team_name_is_escaped_in_its_label() -> None:
     counters = metrics.Metrics()
     name = "pollenfork_refusals_total"
     counters.count(name, team='a"} 9\nx\\')
