--- a/pollenfork/entry/server.py
+++ b/pollenfork/entry/server.py
@@ -174,7 +174,7 @@
             self._refusal_pool.add_task(task)
 
     def readable(self) -> bool:
-        """Returns whether to accept; even beyond the limit, to send refusals."""
+        """Returns whether to accept; beyond the limit too, to send refusals."""
         super().readable()
         return bool(self.accepting)
 
