--- a/pollenfork/entry/request.py
+++ b/pollenfork/entry/request.py
@@ -95,27 +95,27 @@
 
 
 def authenticate(
-    environ: Environ, lookups: snapshot.Snapshot
+    environ: Environ, settings: snapshot.Snapshot
 ) -> result.Result[snapshot.Caller, errors.Refusal]:
     """Returns the caller that the request's API key belongs to."""
     header = environ.get("HTTP_AUTHORIZATION", "")
     scheme, key = header[: len(_BEARER)], header[len(_BEARER) :].strip()
     if scheme.lower() != _BEARER or not key:
         return _refuse_key("missing_key", "The key is missing")
-    caller = lookups.find_caller(key)
+    caller = settings.find_caller(key)
     if caller is None:
         return _refuse_key("unknown_key", "The key is unknown")
     return result.Ok(caller)
 
 
 def choose_class(
-    environ: Environ, caller: snapshot.Caller, lookups: snapshot.Snapshot
+    environ: Environ, caller: snapshot.Caller, settings: snapshot.Snapshot
 ) -> result.Result[Identity, errors.Refusal]:
     """Returns the class from the header, or else the account's default."""
     name = ids.ClassName(
         environ.get(CLASS_HEADER) or caller.settings.default_class
     )
-    found = lookups.find_class(caller.team, name)
+    found = settings.find_class(caller.team, name)
     if found is None or name not in caller.settings.classes:
         return errors.refuse(
             http.HTTPStatus.FORBIDDEN,
