--- a/benchmarks/accounting.py
+++ b/benchmarks/accounting.py
@@ -14,8 +14,8 @@
 from pollenfork import clock
 from pollenfork import ids
 from pollenfork import metrics
-from pollenfork.entry import journal
 from pollenfork.entry import progress
+from pollenfork.entry import request_log
 
 RESULTS = pathlib.Path(__file__).parent / "results" / "accounting.json"
 ROUNDS = 5
@@ -36,7 +36,7 @@
 
 
 def measure_requests() -> float:
-    """Returns microseconds for one request's record, logs formatted."""
+    """Returns microseconds for one request's log, logs formatted."""
     with pathlib.Path("/dev/null").open("w") as nowhere:
         handler = logging.StreamHandler(nowhere)
         logger = logging.getLogger("pollenfork")
@@ -49,18 +49,18 @@
 
 
 def _make_requests() -> Callable[[], None]:
-    counted = journal.Journal(
-        metrics.Metrics(), clock.SystemClock(), journal.make_request_id
+    counted = request_log.RequestLogFactory(
+        metrics.Metrics(), clock.SystemClock(), request_log.make_request_id
     )
 
     def work() -> None:
         for number in range(REQUESTS):
-            record = counted.begin()
-            record.team = ids.Team("linework")
-            record.service_class = ids.ClassName(f"c{number % CLASSES}")
-            record.note_granted(ids.EndpointId("runner-1"))
-            record.note_first()
-            record.note_end(200, ended=True)
+            log = counted.start()
+            log.team = ids.Team("linework")
+            log.service_class = ids.ClassName(f"c{number % CLASSES}")
+            log.record_granted(ids.EndpointId("runner-1"))
+            log.record_first_bytes()
+            log.record_end(200, ended=True)
 
     return work
 
@@ -72,8 +72,10 @@
     def work() -> None:
         chunks: Iterable[bytes] = iter(events)
         if watched:
-            seen = progress.Watched(chunks, lambda: None, lambda ended: None)
-            chunks = progress.Handover(seen, lambda: None)
+            seen = progress.ObservedChunks(
+                chunks, lambda: None, lambda ended: None
+            )
+            chunks = progress.CloseOnceChunks(seen, lambda: None)
         for _ in chunks:
             pass
 
--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -25,8 +25,8 @@
 from pollenfork.endpoints import actor as endpoints_actor
 from pollenfork.endpoints import client as endpoints_client
 from pollenfork.entry import front
+from pollenfork.entry import request_handler
 from pollenfork.entry import server
-from pollenfork.entry import work
 from pollenfork.ledger import claiming
 from pollenfork.ledger import ledger
 from pollenfork.ledger import sweeping
@@ -97,7 +97,7 @@
         # Created first, so that peers don't learn of an instance that fails
         # to listen.
         self._server = server.create_server(
-            self._front, self._config, self._front.write_refusal, self._clock
+            self._front, self._config, self._front.record_refusal, self._clock
         )
         try:
             self._start_parts()
@@ -304,7 +304,7 @@
         exposition.register_relay(self.metrics, self._relay.counters)
         exposition.register_scheduler(self.metrics, self._scheduler)
         exposition.register_peers(self.metrics, self.membership.count_failures)
-        worker = work.Worker(
+        worker = request_handler.RequestHandler(
             self._scheduler,
             self._relay,
             self._clock,
