--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -69,7 +69,7 @@
     tiers = found.list_tiers(service)
     quick = route.tier <= tiers[0] if len(tiers) > 1 else None
     known = found.configuration.services.get(service)
-    tier = found.rank(route, account)
+    tier = found.get_tier(route, account)
     demand = candidates.RequestProfile(
         service, head.parts, quick, known.copy_s if known else None, tier
     )
@@ -79,7 +79,7 @@
         route=route,
         demand=demand,
         prefill_limit_s=load_shedding.find_prefill_limit(
-            route, tiers, demand, found.is_favoured(account)
+            route, tiers, demand, found.has_priority(account)
         ),
         account=account,
         tier=tier,
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -302,7 +302,7 @@
         )
         for service in found.configuration.services.values():
             self._tools.pool.set_accepted(
-                service.name, service.connections, self._peers.instances
+                service.name, service.max_connections, self._peers.instances
             )
 
     async def _clean_up(self) -> None:
--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -67,7 +67,7 @@
 
     def record_current(self, moment: float) -> None:
         """Records this instance's own proof of a current configuration."""
-        self.freshness.vouch(moment)
+        self.freshness.record_current(moment)
 
     def record_store_failure(self, sent_at: float) -> None:
         """Records that the store didn't answer a call sent at that time."""
@@ -114,7 +114,7 @@
         if self._proof_at is None or moment > self._proof_at:
             self._proof_at = moment
         if proof.configuration <= self.configuration_versions.through:
-            self.freshness.vouch(moment)
+            self.freshness.record_current(moment)
 
     def take_versions(self, proof: messages.StoreStatus, sender: str) -> None:
         """Records which versions another instance has read, at any time."""
--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -283,7 +283,7 @@
         tier=ids.Tier(0),
         targets=(routes.Target(SERVICE, 1.0),),
         public=True,
-        affine=False,
+        prefix_affinity=False,
         **{**fields, **given},
     )
 
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -69,7 +69,7 @@
         service = routes.Service(
             name=support.SERVICE,
             health_path="/",
-            connections=9,
+            max_connections=9,
             cache_tokens=1000,
             copy_s=None,
         )
--- a/pollenfork/platform/documents.py
+++ b/pollenfork/platform/documents.py
@@ -139,7 +139,7 @@
         attempts=max(1, wire.max_attempts),
         public=wire.public,
         resumable=wire.stream_resume,
-        affine=wire.session_affinity,
+        prefix_affinity=wire.session_affinity,
     )
 
 
@@ -151,7 +151,7 @@
     return routes.Service(
         name=ids.ServiceName(wire.name),
         health_path=wire.health_path,
-        connections=wire.max_connections,
+        max_connections=wire.max_connections,
         cache_tokens=engine.kv_capacity_tokens,
         copy_s=copy_s,
         scaling=_make_scaling(wire.scaling),
@@ -162,8 +162,8 @@
     if wire is None or not wire.zone_prices:
         return None
     return routes.Scaling(
-        least=wire.min_replicas,
-        most=wire.max_replicas,
+        min_runners=wire.min_replicas,
+        max_runners=wire.max_replicas,
         boot_s=wire.boot_time_s,
         reclaimable_price=wire.spot_price,
         prices=wire.zone_prices,
--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -152,7 +152,7 @@
 def test_proof_of_what_is_not_known_here_is_seen(monkeypatch) -> None:
     def take_proof(self, proof, moment, teller):
         self.take_versions(proof, teller)
-        self.freshness.vouch(moment)
+        self.freshness.record_current(moment)
 
     monkeypatch.setattr(cluster_state.ClusterState, "take_proof", take_proof)
     assert "false_proof" in list_rules([3, 8, 44, 56])
--- a/pollenfork/routes/freshness.py
+++ b/pollenfork/routes/freshness.py
@@ -7,10 +7,10 @@
 
 # A request may wait this long between the check of its key and its arrival
 # at a runner; the bound counts to the arrival.
-_SENDING_S = 0.4
+_SEND_DELAY_S = 0.4
 # A store whose watchers hear nothing for a while still answers them, so what
 # counts as proof may be this much older than it seems, in seconds.
-_DEAF_S = 0.8
+_STORE_DELAY_S = 0.8
 
 
 class Freshness:
@@ -30,7 +30,7 @@
         """Sets how long a key taken away may go on working, in seconds."""
         self._bound_s = bound_s
 
-    def vouch(self, moment: float) -> None:
+    def record_current(self, moment: float) -> None:
         """Notes that everything up to `moment` is known.
 
         Args:
@@ -49,5 +49,6 @@
         if age is None:
             return False
         return (
-            self._bound_s is None or age < self._bound_s - _SENDING_S - _DEAF_S
+            self._bound_s is None
+            or age < self._bound_s - _SEND_DELAY_S - _STORE_DELAY_S
         )
--- a/pollenfork/routes/lookup.py
+++ b/pollenfork/routes/lookup.py
@@ -53,7 +53,7 @@
         """Returns the tiers of all routes to a service, most urgent first."""
         return self._tiers.get(service, ())
 
-    def rank(
+    def get_tier(
         self, route: model.Route, account: model.Account | None
     ) -> ids.Tier:
         """Returns a request's urgency; the account's tier goes first.
@@ -64,7 +64,7 @@
             return route.tier
         return ids.Tier(account.tier * self._route_tiers + route.tier)
 
-    def is_favoured(self, account: model.Account | None) -> bool:
+    def has_priority(self, account: model.Account | None) -> bool:
         """Returns whether an account is more urgent than some others."""
         if account is None or account.tier is None:
             return False
--- a/pollenfork/routes/model.py
+++ b/pollenfork/routes/model.py
@@ -42,7 +42,7 @@
         attempts: Runners to which one request may be sent.
         public: Whether it needs no key.
         resumable: Whether a broken stream may go on at another runner.
-        affine: Whether its requests carry prompt parts.
+        prefix_affinity: Whether its requests carry prompt parts.
     """
 
     name: str
@@ -57,7 +57,7 @@
     attempts: int
     public: bool
     resumable: bool
-    affine: bool
+    prefix_affinity: bool
 
     @property
     def idempotent(self) -> bool:
@@ -69,16 +69,16 @@
     """How many runners of a service may be ordered, and for which price.
 
     Attributes:
-        least: In each data centre, of both kinds.
-        most: The same.
+        min_runners: The fewest per data centre, both kinds together.
+        max_runners: The most per data centre, both kinds together.
         boot_s: Seconds from an order until new runners work.
         reclaimable_price: The part of the price that runners cost which may
             be taken away; None: there are none.
         prices: What a second of a runner costs, by data centre.
     """
 
-    least: int
-    most: int
+    min_runners: int
+    max_runners: int
     boot_s: float
     reclaimable_price: float | None
     prices: dict[ids.DataCentre, float]
@@ -90,7 +90,7 @@
     Attributes:
         name: Its name.
         health_path: Where its runners answer health checks.
-        connections: What one runner accepts from all instances; 0: unknown.
+        max_connections: What one runner accepts from all instances; 0: unknown.
         cache_tokens: A runner's memory for prompts; 0: no model runs there.
         copy_s: Seconds in which a runner copies a token of a prompt from
             another one's memory; None where it can't.
@@ -99,7 +99,7 @@
 
     name: ids.ServiceName
     health_path: str
-    connections: int
+    max_connections: int
     cache_tokens: int
     copy_s: float | None = None
     scaling: Scaling | None = None
--- a/pollenfork/routes/tests/test_freshness.py
+++ b/pollenfork/routes/tests/test_freshness.py
@@ -8,7 +8,7 @@
 
 def test_keys_are_trusted_until_well_before_the_bound() -> None:
     known = freshness.Freshness(5.0)
-    known.vouch(10.0)
+    known.record_current(10.0)
     assert known.trusts_keys(13.0)
     assert not known.trusts_keys(14.0)
     assert not known.trusts_keys(15.0)
@@ -16,12 +16,12 @@
 
 def test_older_proof_takes_nothing_back() -> None:
     known = freshness.Freshness(5.0)
-    known.vouch(10.0)
-    known.vouch(8.0)
+    known.record_current(10.0)
+    known.record_current(8.0)
     assert known.age(11.0) == 1.0
 
 
 def test_without_a_bound_keys_stay_trusted() -> None:
     known = freshness.Freshness(None)
-    known.vouch(0.0)
+    known.record_current(0.0)
     assert known.trusts_keys(1e6)
--- a/pollenfork/routes/tests/test_lookup.py
+++ b/pollenfork/routes/tests/test_lookup.py
@@ -19,7 +19,7 @@
         "attempts": 1,
         "public": False,
         "resumable": False,
-        "affine": False,
+        "prefix_affinity": False,
     }
     return model.Route(host=host, prefix=prefix, **{**fields, **given})
 
@@ -98,13 +98,13 @@
     first, last = make_route("/a/", tier=0), make_route("/b/", tier=2)
     found = make_lookup(first, last)
     ranks = [
-        found.rank(first, urgent),
-        found.rank(last, urgent),
-        found.rank(first, usual),
-        found.rank(last, usual),
+        found.get_tier(first, urgent),
+        found.get_tier(last, urgent),
+        found.get_tier(first, usual),
+        found.get_tier(last, usual),
     ]
     assert ranks == sorted(set(ranks))
-    assert found.rank(last, None) == 2
+    assert found.get_tier(last, None) == 2
 
 
 def test_an_account_is_favoured_where_others_are_less_urgent() -> None:
@@ -115,6 +115,6 @@
     unranked = model.Account(ids.AccountId("c"), None)
     accounts = {"k1": first, "k2": last, "k3": unranked}
     found = make_lookup(accounts=accounts)
-    assert found.is_favoured(first)
-    assert not any(map(found.is_favoured, (last, unranked, None)))
-    assert not make_lookup(accounts={"k1": first}).is_favoured(first)
+    assert found.has_priority(first)
+    assert not any(map(found.has_priority, (last, unranked, None)))
+    assert not make_lookup(accounts={"k1": first}).has_priority(first)
--- a/pollenfork/scaling/planner.py
+++ b/pollenfork/scaling/planner.py
@@ -135,7 +135,8 @@
             kind
             for kind, count in have.items()
             if now >= self._unavailable_until.get(kind.data_centre, 0.0)
-            and count + view.count_on_demand(kind.data_centre) < self.terms.most
+            and count + view.count_on_demand(kind.data_centre)
+            < self.terms.max_runners
         ]
         return min(
             available,
@@ -169,10 +170,10 @@
             others = reclaimable.get(
                 model.RunnerKind(kind.data_centre, True), 0
             )
-            room = max(0, self.terms.most - others - wanted[kind])
+            room = max(0, self.terms.max_runners - others - wanted[kind])
             added = max(0, min(missing, room))
             missing -= added
-            least = self.terms.least - others
+            least = self.terms.min_runners - others
             wanted[kind] = max(wanted[kind] + added, least)
         return wanted
 
--- a/pollenfork/scaling/tests/test_planner.py
+++ b/pollenfork/scaling/tests/test_planner.py
@@ -10,8 +10,8 @@
 
 A, B, C = map(ids.DataCentre, "abc")
 TERMS = routes.Scaling(
-    least=1,
-    most=30,
+    min_runners=1,
+    max_runners=30,
     boot_s=4.0,
     reclaimable_price=0.18,
     prices={A: 0.85, B: 1.2, C: 1.0},
@@ -130,8 +130,8 @@
     fleet.unavailable = {A}
     fleet.reclaim(A)
     fleet.run(8.0)
-    assert fleet.total == 45 + TERMS.least
-    assert fleet.zones[A] == model.RunnerCounts(TERMS.least, 0)
+    assert fleet.total == 45 + TERMS.min_runners
+    assert fleet.zones[A] == model.RunnerCounts(TERMS.min_runners, 0)
     count = len(fleet.orders)
     fleet.unavailable.clear()
     fleet.run(20.0)
@@ -187,9 +187,9 @@
     fleet.run(2.0, model.Load(backlog_s=9.0))
     fleet.run(30.0, model.Load(backlog_s=9.0))
     for _, target in fleet.orders:
-        assert 0 <= target.count <= TERMS.most
+        assert 0 <= target.count <= TERMS.max_runners
     for zone in fleet.zones.values():
-        assert TERMS.least <= zone.ready <= TERMS.most
+        assert TERMS.min_runners <= zone.ready <= TERMS.max_runners
 
 
 def test_without_reclaimable_runners_on_demand_ones_stay() -> None:
@@ -203,7 +203,11 @@
 
 def test_without_a_price_no_reclaimable_runners_are_ordered() -> None:
     terms = routes.Scaling(
-        least=1, most=30, boot_s=4.0, reclaimable_price=None, prices={A: 1.0}
+        min_runners=1,
+        max_runners=30,
+        boot_s=4.0,
+        reclaimable_price=None,
+        prices={A: 1.0},
     )
     fleet = Fleet(terms, baseline=15)
     fleet.run(20.0)
@@ -285,4 +289,4 @@
     fleet.unavailable = {A}
     fleet.reclaim(A)
     fleet.run(8.0)
-    assert fleet.zones[A].ready >= TERMS.least
+    assert fleet.zones[A].ready >= TERMS.min_runners
