--- a/pollenfork/routes/__init__.py
+++ b/pollenfork/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request goes to, for whom, and within which limits."""
+"""Routing: the service, account and limits of each request."""
--- a/pollenfork/routes/lookup.py
+++ b/pollenfork/routes/lookup.py
@@ -1,4 +1,4 @@
-"""Finds a request's route, service and account."""
+"""Looks up the route, service and account of a request."""
 
 import zlib
 
@@ -7,7 +7,7 @@
 
 
 class Lookup:
-    """One configuration, arranged for finding."""
+    """One configuration, indexed for lookups."""
 
     def __init__(self, configuration: model.Configuration) -> None:
         self.configuration = configuration
@@ -19,7 +19,7 @@
         self._tiers = _collect_tiers(configuration)
         accounts = (configuration.accounts or {}).values()
         self._last_account_tier = max(
-            (each.tier for each in accounts if each.tier is not None),
+            (item.tier for item in accounts if item.tier is not None),
             default=0,
         )
         self._route_tiers = 1 + max(
@@ -27,11 +27,11 @@
         )
 
     def find_route(self, host: str, path: str) -> model.Route | None:
-        """Returns the route with the longest prefix of the host's routes.
+        """Returns the host's route with the longest matching prefix.
 
         Args:
-            host: The `Host` header; its port, if any, doesn't matter.
-            path: The request's path without its query.
+            host: The `Host` header; a port in it is ignored.
+            path: The request's path without the query.
         """
         name = host.lower()
         routes = self._hosts.get(name)
@@ -43,7 +43,7 @@
         return None
 
     def find_account(self, key: str | None) -> model.Account | None:
-        """Returns the account that holds `key`."""
+        """Returns the account that `key` belongs to."""
         accounts = self.configuration.accounts
         if accounts is None or key is None:
             return None
@@ -56,22 +56,22 @@
     def get_tier(
         self, route: model.Route, account: model.Account | None
     ) -> ids.Tier:
-        """Returns a request's urgency; the account's tier goes first.
+        """Returns a request's tier: the account's tier, then the route's.
 
-        Among requests of accounts of one tier, the route's tier decides.
+        The route's tier orders requests whose accounts have the same tier.
         """
         if account is None or account.tier is None:
             return route.tier
         return ids.Tier(account.tier * self._route_tiers + route.tier)
 
     def has_priority(self, account: model.Account | None) -> bool:
-        """Returns whether an account is more urgent than some others."""
+        """Returns whether an account has a higher priority than some others."""
         if account is None or account.tier is None:
             return False
         return account.tier < self._last_account_tier
 
     def needs_key(self, route: model.Route) -> bool:
-        """Returns whether the route's requests must show a key."""
+        """Returns whether the route's requests must present an API key."""
         return self.configuration.accounts is not None and not route.public
 
 
@@ -82,14 +82,14 @@
     for route in configuration.routes:
         for target in route.targets:
             tiers.setdefault(target.service, set()).add(route.tier)
-    return {service: tuple(sorted(found)) for service, found in tiers.items()}
+    return {service: tuple(sorted(each)) for service, each in tiers.items()}
 
 
 def choose_service(route: model.Route, token: bytes) -> ids.ServiceName:
-    """Returns the service that serves the request named by `token`.
+    """Returns the service that serves the request identified by `token`.
 
-    Every instance makes the same choice for the same token, so a split is
-    kept by requests, whichever instance they reach.
+    The choice depends on the token alone, so a request keeps its service
+    whichever instance it reaches.
     """
     targets = route.targets
     if len(targets) == 1:
--- a/pollenfork/routes/model.py
+++ b/pollenfork/routes/model.py
@@ -1,4 +1,4 @@
-"""The configuration that operators write, as the product sees it."""
+"""The operators' configuration, independent of its wire format."""
 
 import enum
 
@@ -8,10 +8,10 @@
 
 
 class Kind(enum.Enum):
-    """What may be repeated.
+    """Whether requests may be retried once they may have run.
 
-    `REPEATABLE` requests are idempotent; `AT_MOST_ONCE` requests run once or
-    never; a `STREAM` is like the latter unless its route lets it resume.
+    `REPEATABLE` requests are idempotent. `AT_MOST_ONCE` requests run at most
+    once. `STREAM` requests do too, unless their route allows resuming.
     """
 
     REPEATABLE = "repeatable"
@@ -20,29 +20,29 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A service's part of a route's requests."""
+    """A service and its weight among a route's services."""
 
     service: ids.ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host and path prefix, and how they are served.
+    """How requests for one host and path prefix are served.
 
     Attributes:
-        name: The operator's name for it.
-        host: The `Host` that selects it, in lower case.
-        prefix: The beginning of the paths that select it.
-        kind: What may be repeated.
-        time_limit_s: The longest that a caller is kept waiting, in seconds.
-        target_s: The time to the answer, or its first event, in seconds.
-        gap_s: The longest pause between events in time, in seconds.
-        tier: Its urgency; 0 is the most urgent.
-        targets: The services that share its requests.
-        attempts: Runners to which one request may be sent.
-        public: Whether it needs no key.
-        resumable: Whether a broken stream may go on at another runner.
-        prefix_affinity: Whether its requests carry prompt parts.
+        name: The name that operators gave the route.
+        host: The `Host` header to match, in lower case.
+        prefix: The path prefix to match.
+        kind: Whether requests may be retried.
+        time_limit_s: Seconds after which a request times out.
+        target_s: Target time to the answer or its first event, in seconds.
+        gap_s: Target for the longest pause between events, in seconds.
+        tier: The priority; 0 is the highest.
+        targets: The services that share the requests.
+        attempts: The most runners to which one request may be sent.
+        public: Whether requests need no API key.
+        resumable: Whether a broken stream may resume on another runner.
+        prefix_affinity: Whether requests name the parts of their prompts.
     """
 
     name: str
@@ -61,20 +61,20 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may safely run more than once."""
         return self.kind is Kind.REPEATABLE or self.resumable
 
 
 class Scaling(msgspec.Struct, frozen=True, kw_only=True):
-    """How many runners of a service may be ordered, and for which price.
+    """How many runners of a service may be ordered, and at which price.
 
     Attributes:
         min_runners: The fewest per data centre, both kinds together.
         max_runners: The most per data centre, both kinds together.
-        boot_s: Seconds from an order until new runners work.
-        reclaimable_price: The part of the price that runners cost which may
-            be taken away; None: there are none.
-        prices: What a second of a runner costs, by data centre.
+        boot_s: Seconds from an order until new runners are ready.
+        reclaimable_price: Price of a reclaimable runner as a fraction of the
+            regular price; None if the service has no reclaimable runners.
+        prices: Price of one runner per second, by data centre.
     """
 
     min_runners: int
@@ -85,16 +85,18 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service that runners offer.
+    """A service and the properties of its runners.
 
     Attributes:
-        name: Its name.
-        health_path: Where its runners answer health checks.
-        max_connections: What one runner accepts from all instances; 0: unknown.
-        cache_tokens: A runner's memory for prompts; 0: no model runs there.
-        copy_s: Seconds in which a runner copies a token of a prompt from
-            another one's memory; None where it can't.
-        scaling: How many runners may be ordered; None: nobody orders any.
+        name: The service's name.
+        health_path: The path of the runners' health check.
+        max_connections: The most connections that one runner accepts from all
+            instances together; 0 if unknown.
+        cache_tokens: Tokens that a runner's KV cache holds; 0 if the runners
+            run no model.
+        copy_s: Seconds that a runner takes to copy one prompt token from
+            another runner's cache; None if it can't.
+        scaling: How many runners may be ordered; None if none may.
     """
 
     name: ids.ServiceName
@@ -106,7 +108,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, in bytes, and how long it may take."""
+    """Size limits and timeouts for callers' requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -115,21 +117,21 @@
 
 
 class Account(msgspec.Struct, frozen=True):
-    """A client account; its tier, if any, goes before the route's."""
+    """A client account; its tier, if set, outranks the route's."""
 
     id: ids.AccountId
     tier: ids.Tier | None
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Attributes:
-        version: The operator's number; it grows.
+        version: The version that operators gave it; it only increases.
         routes: All routes.
         services: All services by name.
-        limits: Limits on callers.
-        accounts: Client accounts by key; None where no key is asked for.
+        limits: Limits on callers' requests.
+        accounts: Client accounts by API key; None if no keys are required.
     """
 
     version: int
--- a/pollenfork/routes/tests/test_lookup.py
+++ b/pollenfork/routes/tests/test_lookup.py
@@ -7,7 +7,9 @@
 from pollenfork.routes import model
 
 
-def make_route(prefix: str, host: str = "a.example", **given) -> model.Route:
+def make_route(
+    prefix: str, host: str = "a.example", **overrides
+) -> model.Route:
     fields = {
         "name": prefix,
         "kind": model.Kind.REPEATABLE,
@@ -21,7 +23,7 @@
         "resumable": False,
         "prefix_affinity": False,
     }
-    return model.Route(host=host, prefix=prefix, **{**fields, **given})
+    return model.Route(host=host, prefix=prefix, **{**fields, **overrides})
 
 
 def make_lookup(*routes: model.Route, accounts=None) -> lookup.Lookup:
@@ -36,11 +38,11 @@
     )
 
 
-def test_longest_prefix_of_the_host_is_found() -> None:
-    found = make_lookup(make_route("/"), make_route("/a/"), make_route("/a/b/"))
-    assert found.find_route("a.example", "/a/b/c").prefix == "/a/b/"
-    assert found.find_route("a.example", "/a/bc").prefix == "/a/"
-    assert found.find_route("a.example", "/x").prefix == "/"
+def test_finds_the_longest_prefix_of_the_host() -> None:
+    table = make_lookup(make_route("/"), make_route("/a/"), make_route("/a/b/"))
+    assert table.find_route("a.example", "/a/b/c").prefix == "/a/b/"
+    assert table.find_route("a.example", "/a/bc").prefix == "/a/"
+    assert table.find_route("a.example", "/x").prefix == "/"
 
 
 @pytest.mark.parametrize(
@@ -52,16 +54,16 @@
         ("", "/a/x"),
     ],
 )
-def test_nothing_else_is_found(host: str, path: str) -> None:
+def test_other_hosts_and_paths_match_no_route(host: str, path: str) -> None:
     assert make_lookup(make_route("/a/")).find_route(host, path) is None
 
 
 @pytest.mark.parametrize("host", ["A.Example", "a.example:80"])
-def test_case_and_port_of_the_host_do_not_matter(host: str) -> None:
+def test_case_and_port_of_the_host_are_ignored(host: str) -> None:
     assert make_lookup(make_route("/a/")).find_route(host, "/a/x")
 
 
-def test_a_split_is_kept_by_weight_and_alike_everywhere() -> None:
+def test_split_follows_the_weights_and_is_deterministic() -> None:
     targets = (
         model.Target(ids.ServiceName("s"), 90),
         model.Target(ids.ServiceName("t"), 10),
@@ -74,7 +76,7 @@
     assert 300 < collections.Counter(first)["t"] < 500
 
 
-def test_a_service_without_weight_gets_nothing() -> None:
+def test_service_with_zero_weight_gets_no_requests() -> None:
     targets = (
         model.Target(ids.ServiceName("s"), 0),
         model.Target(ids.ServiceName("t"), 1),
@@ -84,7 +86,7 @@
     assert chosen == {"t"}
 
 
-def test_keys_are_asked_for_only_where_the_configuration_has_accounts() -> None:
+def test_keys_are_required_only_if_the_configuration_has_accounts() -> None:
     route = make_route("/a/")
     assert not make_lookup(route).needs_key(route)
     assert make_lookup(route, accounts={}).needs_key(route)
@@ -92,29 +94,29 @@
     assert not make_lookup(open_route, accounts={}).needs_key(open_route)
 
 
-def test_the_accounts_tier_goes_before_the_routes() -> None:
+def test_the_accounts_tier_outranks_the_routes() -> None:
     urgent = model.Account(ids.AccountId("u"), ids.Tier(0))
-    usual = model.Account(ids.AccountId("v"), ids.Tier(1))
+    regular = model.Account(ids.AccountId("v"), ids.Tier(1))
     first, last = make_route("/a/", tier=0), make_route("/b/", tier=2)
-    found = make_lookup(first, last)
+    table = make_lookup(first, last)
     ranks = [
-        found.get_tier(first, urgent),
-        found.get_tier(last, urgent),
-        found.get_tier(first, usual),
-        found.get_tier(last, usual),
+        table.get_tier(first, urgent),
+        table.get_tier(last, urgent),
+        table.get_tier(first, regular),
+        table.get_tier(last, regular),
     ]
     assert ranks == sorted(set(ranks))
-    assert found.get_tier(last, None) == 2
+    assert table.get_tier(last, None) == 2
 
 
-def test_an_account_is_favoured_where_others_are_less_urgent() -> None:
+def test_an_account_has_priority_if_others_have_a_lower_tier() -> None:
     first, last = (
         model.Account(ids.AccountId(name), ids.Tier(tier))
         for name, tier in (("a", 0), ("b", 1))
     )
     unranked = model.Account(ids.AccountId("c"), None)
     accounts = {"k1": first, "k2": last, "k3": unranked}
-    found = make_lookup(accounts=accounts)
-    assert found.has_priority(first)
-    assert not any(map(found.has_priority, (last, unranked, None)))
+    table = make_lookup(accounts=accounts)
+    assert table.has_priority(first)
+    assert not any(map(table.has_priority, (last, unranked, None)))
     assert not make_lookup(accounts={"k1": first}).has_priority(first)
