--- a/benchmarks/cache_feed_cost.py
+++ b/benchmarks/cache_feed_cost.py
@@ -43,11 +43,11 @@
     calls = client.Client(loads.Address(_HOST, port))
     begun = time.thread_time()
     for after in range(_CALLS):
-        ask = caches.write_feed_ask(runner, after, 1.0)
+        ask = caches.encode_feed_request(runner, after, 1.0)
         answer = await calls.call(ask, 1.7)
         assert answer is not None
         chooser.apply_cache_report(
-            runner.id, caches.read_feed(*answer).unwrap()
+            runner.id, caches.decode_feed(*answer).unwrap()
         )
     return time.thread_time() - begun
 
--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -188,12 +188,12 @@
         self, calls: client.Client, runner: fleet.Runner, after: int | None
     ) -> News:
         """Returns the changes after one, or all cached parts if it is None."""
-        write = self._codec.write_feed_ask
+        write = self._codec.encode_feed_request
         request = write(runner, after or 0, _WAIT_S)
         answer = await calls.call(request, _WAIT_S + _SLACK_S)
         if answer is None:
             return result.Err(NoAnswer(detail="no answer"))
-        heard = self._codec.read_feed(*answer)
+        heard = self._codec.decode_feed(*answer)
         if isinstance(heard, result.Err):
             return heard
         if heard.ok_value.gap:
@@ -205,11 +205,11 @@
     async def _ask_all(
         self, calls: client.Client, runner: fleet.Runner
     ) -> News:
-        request = self._codec.write_list_ask(runner)
+        request = self._codec.encode_list_request(runner)
         answer = await calls.call(request, _SLACK_S)
         if answer is None:
             return result.Err(NoAnswer(detail="no answer"))
-        return self._codec.read_list(*answer)
+        return self._codec.decode_list(*answer)
 
 
 class NoAnswer(failures.Failure, frozen=True, kw_only=True):
--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -144,7 +144,7 @@
         """Puts a newer configuration in force."""
         self.configuration_versions.take(changes)
         for row in changes.rows:
-            read = self._store.read_configuration(row)
+            read = self._store.decode_configuration(row)
             if read is None:
                 continue
             if isinstance(read, result.Err):
@@ -180,7 +180,7 @@
             if row.removed:
                 self._remove_runner(row, changes.source, now)
                 continue
-            read = self._store.read_runner(row)
+            read = self._store.decode_runner(row)
             if isinstance(read, result.Err):
                 self._refuse_entry(row, read.err_value)
                 continue
--- a/pollenfork/gateway/duty_rows.py
+++ b/pollenfork/gateway/duty_rows.py
@@ -39,11 +39,11 @@
         found: tuple[catalogue.Row, ...] = ()
         start = ""
         while True:
-            ask = self._store.write_range_ask(changes.Table.DUTIES, start)
+            ask = self._store.encode_range_request(changes.Table.DUTIES, start)
             answer = await self._client.call(ask, _CALL_TIMEOUT_S)
             if answer is None:
                 return result.Err(catalogue.ReadFailure.NO_ANSWER)
-            read = self._store.read_rows(*answer)
+            read = self._store.decode_rows(*answer)
             if isinstance(read, result.Err):
                 return read
             page = read.ok_value
@@ -56,12 +56,12 @@
         self, step: messages.Write
     ) -> result.Result[int, changes.WriteFailure]:
         """Returns the version of the rows written, or why the write failed."""
-        change = self._store.write_change(_make_change(step))
+        change = self._store.encode_change(_make_change(step))
         answer = await self._client.call(change, _CALL_TIMEOUT_S)
         written: result.Result[int, changes.WriteFailure]
         written = result.Err(changes.WriteFailure.NO_ANSWER)
         if answer is not None:
-            written = self._store.read_changed(*answer)
+            written = self._store.decode_change_result(*answer)
         if isinstance(written, result.Err):
             _LOG.warning(
                 "event=duty_write_failed fencing=%d trouble=%s",
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -48,56 +48,56 @@
 class CacheCodec(Protocol):
     """Decodes and encodes requests for the contents of runners' KV caches."""
 
-    def write_feed_ask(
+    def encode_feed_request(
         self, runner: fleet.Runner, after: int, wait_s: float
     ) -> bytes:
         """Returns the long-poll request for changes after a sequence number."""
 
-    def write_list_ask(self, runner: fleet.Runner) -> bytes:
+    def encode_list_request(self, runner: fleet.Runner) -> bytes:
         """Returns the request for all cached parts."""
 
-    def read_feed(
+    def decode_feed(
         self, status: int, body: bytes
     ) -> result.Result[fleet_messages.CacheReport, failures.Failure]:
-        """Decodes the response to `write_feed_ask`."""
+        """Decodes the response to `encode_feed_request`."""
 
-    def read_list(
+    def decode_list(
         self, status: int, body: bytes
     ) -> result.Result[fleet_messages.CacheReport, failures.Failure]:
-        """Decodes the response to `write_list_ask`."""
+        """Decodes the response to `encode_list_request`."""
 
 
 class Store(Protocol):
     """Decodes and encodes calls to the store."""
 
-    def write_configuration_ask(self, ask: catalogue.ReadCall) -> bytes:
+    def encode_configuration_request(self, call: catalogue.ReadCall) -> bytes:
         """Returns the request that watches the configuration."""
 
-    def write_runners_ask(self, ask: catalogue.ReadCall) -> bytes:
+    def encode_runners_request(self, call: catalogue.ReadCall) -> bytes:
         """Returns the request that watches the registry of runners."""
 
-    def write_range_ask(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
         """Returns the request for the rows of a table, starting at a key."""
 
-    def write_change(self, change: changes.Change) -> bytes:
+    def encode_change(self, change: changes.Change) -> bytes:
         """Returns the request that writes and removes rows."""
 
-    def read_changed(
+    def decode_change_result(
         self, status: int, body: bytes
     ) -> result.Result[int, changes.WriteFailure]:
         """Decodes the response to a change: the version of the rows written."""
 
-    def read_rows(
+    def decode_rows(
         self, status: int, body: bytes
     ) -> result.Result[catalogue.Rows, catalogue.ReadFailure]:
         """Decodes the response to any read."""
 
-    def read_configuration(
+    def decode_configuration(
         self, row: catalogue.Row
     ) -> result.Result[routes.Configuration, failures.Failure] | None:
         """Decodes a row; returns None if it isn't the configuration."""
 
-    def read_runner(
+    def decode_runner(
         self, row: catalogue.Row
     ) -> result.Result[fleet.Runner, errors.BadEntry]:
         """Decodes a row of the registry."""
@@ -106,8 +106,8 @@
 class Cloud(Protocol):
     """Encodes calls to the platform, which one instance at a time makes."""
 
-    def write(self, task: duties.PlatformCall) -> bytes:
+    def encode_call(self, call: duties.PlatformCall) -> bytes:
         """Returns the request that reports usage or orders runners."""
 
-    def read(self, status: int) -> duties.Reply:
+    def decode_reply(self, status: int) -> duties.Reply:
         """Decodes the status of a response."""
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -103,7 +103,7 @@
         key = records.format_trial_key(digest, number)
         async with self._claiming:
             claim = changes.Put(changes.Table.TRIALS, key, b"", changes.ABSENT)
-            call = self._store.write_change(changes.Change((claim,)))
+            call = self._store.encode_change(changes.Change((claim,)))
             answer = await self._claims.call(call, _CLAIM_TIMEOUT_S)
         status = None if answer is None else answer[0]
         _LOG.warning(
@@ -125,11 +125,11 @@
         start = ""
         found: list[crashes.CrashHistory] = []
         while True:
-            ask = self._store.write_range_ask(_TABLE, start)
+            ask = self._store.encode_range_request(_TABLE, start)
             answer = await self._client.call(ask, _CALL_TIMEOUT_S)
             if answer is None:
                 return False
-            read = self._store.read_rows(*answer)
+            read = self._store.decode_rows(*answer)
             if isinstance(read, result.Err):
                 return False
             rows = read.ok_value
@@ -164,7 +164,7 @@
     async def _write(self, write: _Write) -> bool:
         """Returns whether the store accepted or finally rejected a row."""
         key = records.format_key(write.digest)
-        call = self._store.write_change(_make_change(write))
+        call = self._store.encode_change(_make_change(write))
         answer = await self._client.call(call, _CALL_TIMEOUT_S)
         if answer is None or answer[0] in (429, 503):
             return False
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -74,12 +74,12 @@
         self._configuration = self._make_follower(
             tables.Table.CONFIGURATION,
             (_CONFIGURATION_WAIT_S, _CONFIGURATION_REST_S),
-            store.write_configuration_ask,
+            store.encode_configuration_request,
         )
         self._runners = self._make_follower(
             tables.Table.RUNNERS,
             (_RUNNERS_WAIT_S, _RUNNERS_REST_S),
-            store.write_runners_ask,
+            store.encode_runners_request,
         )
         self._connect()
 
@@ -152,7 +152,7 @@
             watch.Watch(self._rng, wait_s),
             cooldown_s,
             write,
-            self._store.read_rows,
+            self._store.decode_rows,
         )
         follower.when_changed(lambda changes: self.tables.take(table, changes))
         follower.when_answered(self._known.record_store_answer)
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -23,13 +23,13 @@
 class CacheCodec:
     """Reads answers of the words `+part`, `-part`, `gap`, `epoch=`, `born=`."""
 
-    def write_feed_ask(self, runner, after, wait_s):
+    def encode_feed_request(self, runner, after, wait_s):
         return b"GET /feed/%d HTTP/1.1\r\nx-id: q\r\n\r\n" % after
 
-    def write_list_ask(self, runner):
+    def encode_list_request(self, runner):
         return b"GET /list HTTP/1.1\r\nx-id: q\r\n\r\n"
 
-    def read_feed(self, status, body):
+    def decode_feed(self, status, body):
         if status != 200:
             return result.Err(cache_feed.NoAnswer(detail="status"))
         words = body.split()
@@ -48,8 +48,8 @@
         )
         return result.Ok(news)
 
-    def read_list(self, status, body):
-        return self.read_feed(status, body).map(
+    def decode_list(self, status, body):
+        return self.decode_feed(status, body).map(
             lambda news: fleet_messages.CacheReport(
                 news.changes,
                 news.last_sequence,
--- a/pollenfork/gateway/tests/test_cluster_state.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -18,7 +18,7 @@
 class Store:
     """Decodes rows that hold a configuration's version or a runner's name."""
 
-    def read_configuration(self, row):
+    def decode_configuration(self, row):
         if row.value == b"bad":
             return result.Err(failures.Failure(detail="bad"))
         return result.Ok(
@@ -31,7 +31,7 @@
             )
         )
 
-    def read_runner(self, row):
+    def decode_runner(self, row):
         if row.value == b"bad":
             fault = errors.EntryFault.NOT_DECODABLE
             return result.Err(errors.BadEntry(detail="bad", fault=fault))
--- a/pollenfork/gateway/tests/test_duty_agent.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -51,30 +51,30 @@
     def __init__(self, site: "Site") -> None:
         self._site = site
 
-    def write_range_ask(self, table, start):
+    def encode_range_request(self, table, start):
         return ("read", start)
 
-    def write_change(self, change):
+    def encode_change(self, change):
         return change
 
-    def read_rows(self, status, body):
+    def decode_rows(self, status, body):
         rows = self._site.rows.read()
         left = [row for row in rows.rows if row.key >= body]
         page = tuple(sorted(left, key=lambda row: row.key)[:PAGE])
         more = len(left) > PAGE
         return result.Ok(catalogue.Rows(page, rows.version, more))
 
-    def read_changed(self, status, body):
+    def decode_change_result(self, status, body):
         return body
 
 
 class Cloud:
     """Passes the platform's calls through without encoding."""
 
-    def write(self, task):
+    def encode_call(self, task):
         return task
 
-    def read(self, status):
+    def decode_reply(self, status):
         return messages.Reply.DONE
 
 
--- a/pollenfork/gateway/tests/test_quarantine_store.py
+++ b/pollenfork/gateway/tests/test_quarantine_store.py
@@ -23,11 +23,11 @@
         self.removed: list[str] = []
         self.claimed: list[str] = []
 
-    def write_range_ask(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
         assert table is changes.Table.KEPT_REQUESTS
         return start.encode()
 
-    def write_change(self, change: changes.Change) -> bytes:
+    def encode_change(self, change: changes.Change) -> bytes:
         if not change.written:
             row, *trials = [each.key for each in change.removed]
             assert trials == [f"{row}-1", f"{row}-2", f"{row}-3"]
@@ -39,7 +39,7 @@
         self.claimed.append(claim.key)
         return b"claim"
 
-    def read_rows(self, status: int, body: bytes):
+    def decode_rows(self, status: int, body: bytes):
         left = [row for row in self.rows if row.key >= body.decode()]
         return result.Ok(catalogue.Rows(tuple(left[:100]), 1, len(left) > 100))
 
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -68,12 +68,12 @@
     """Decodes the one row as a configuration and as a runner."""
 
     def __init__(self, standin: Store) -> None:
-        self.write_configuration_ask = standin.write
-        self.write_runners_ask = standin.write
-        self.read_rows = standin.read
+        self.encode_configuration_request = standin.write
+        self.encode_runners_request = standin.write
+        self.decode_rows = standin.read
 
-    def read_configuration(self, row):
-        return None if row.removed else super().read_configuration(row)
+    def decode_configuration(self, row):
+        return None if row.removed else super().decode_configuration(row)
 
 
 class Instance:
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -20,9 +20,9 @@
     """Encodes calls for a stand-in of the store, and decodes rows."""
 
     def __init__(self, standin: test_following.Store) -> None:
-        self.write_configuration_ask = standin.write
-        self.write_runners_ask = standin.write
-        self.read_rows = standin.read
+        self.encode_configuration_request = standin.write
+        self.encode_runners_request = standin.write
+        self.decode_rows = standin.read
 
 
 class Others:
--- a/pollenfork/platform/caches.py
+++ b/pollenfork/platform/caches.py
@@ -43,26 +43,28 @@
 _DECODER = msgspec.json.Decoder(_News)
 
 
-def write_feed_ask(runner: fleet.Runner, after: int, wait_s: float) -> bytes:
+def encode_feed_request(
+    runner: fleet.Runner, after: int, wait_s: float
+) -> bytes:
     """Returns the request for the changes after one, as they come."""
     target = f"{names.CACHE_FEED_PATH}?since={after}"
     extra = names.FEED_WAIT + b": %d\r\n" % int(wait_s * 1000)
     return _write(runner, target, extra)
 
 
-def write_list_ask(runner: fleet.Runner) -> bytes:
+def encode_list_request(runner: fleet.Runner) -> bytes:
     """Returns the request for all parts kept; it delays the runner's work."""
     return _write(runner, names.CACHE_LIST_PATH)
 
 
-def read_feed(
+def decode_feed(
     status: int, body: bytes
 ) -> result.Result[messages.CacheReport, BadCacheNews]:
     """Decodes the answer to the first."""
     return _decode(status, body).map(lambda told: _make_news(told, whole=False))
 
 
-def read_list(
+def decode_list(
     status: int, body: bytes
 ) -> result.Result[messages.CacheReport, BadCacheNews]:
     """Decodes the answer to the second."""
--- a/pollenfork/platform/cloud.py
+++ b/pollenfork/platform/cloud.py
@@ -37,7 +37,7 @@
     host: str
     instance: ids.InstanceId
 
-    def write(self, task: messages.PlatformCall) -> bytes:
+    def encode_call(self, task: messages.PlatformCall) -> bytes:
         """Returns the request that tells or orders something."""
         work = task.work
         if isinstance(work, rows.ScalingOrder):
@@ -63,7 +63,7 @@
         )
         return head.encode() + body
 
-    def read(self, status: int) -> messages.Reply:
+    def decode_reply(self, status: int) -> messages.Reply:
         """Decodes the status of an answer."""
         if status >= 500:
             return messages.Reply.BUSY
--- a/pollenfork/platform/documents.py
+++ b/pollenfork/platform/documents.py
@@ -90,7 +90,7 @@
 _CONFIG = msgspec.json.Decoder(_Config)
 
 
-def read_configuration(
+def decode_configuration(
     value: bytes,
 ) -> result.Result[routes.Configuration, BadDocument]:
     """Decodes the operator's configuration."""
--- a/pollenfork/platform/rows.py
+++ b/pollenfork/platform/rows.py
@@ -76,7 +76,7 @@
     return f"{names.RANGE_PATH}?{urllib.parse.urlencode(query)}"
 
 
-def write_change(change: changes.Change) -> bytes:
+def encode_change(change: changes.Change) -> bytes:
     """Returns the body that writes and removes rows, all or none of them."""
     made = _Change()
     for put in change.written:
--- a/pollenfork/platform/store.py
+++ b/pollenfork/platform/store.py
@@ -28,21 +28,21 @@
 
     host: str
 
-    def write_configuration_ask(self, ask: messages.ReadCall) -> bytes:
+    def encode_configuration_request(self, ask: messages.ReadCall) -> bytes:
         """Returns the request that follows the configuration."""
         return self._write(rows.write_ask(rows.CONFIGURATION, ask))
 
-    def write_runners_ask(self, ask: messages.ReadCall) -> bytes:
+    def encode_runners_request(self, ask: messages.ReadCall) -> bytes:
         """Returns the request that follows the registry."""
         return self._write(rows.write_ask(rows.RUNNERS, ask))
 
-    def write_range_ask(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
         """Returns the request for the rows of a table, from a key on."""
         return self._write(rows.write_range(table.value, start))
 
-    def write_change(self, change: changes.Change) -> bytes:
+    def encode_change(self, change: changes.Change) -> bytes:
         """Returns the request that writes and removes rows."""
-        body = rows.write_change(change)
+        body = rows.encode_change(change)
         head = (
             f"POST {names.CHANGE_PATH} HTTP/1.1\r\nhost: {self.host}\r\n"
             "content-type: application/json\r\n"
@@ -50,7 +50,7 @@
         )
         return head.encode() + body
 
-    def read_changed(
+    def decode_change_result(
         self, status: int, body: bytes
     ) -> result.Result[int, changes.WriteFailure]:
         """Decodes the answer to that: the version of the rows written."""
@@ -63,7 +63,7 @@
         )
         return read.map(lambda answer: answer.version)
 
-    def read_rows(
+    def decode_rows(
         self, status: int, body: bytes
     ) -> result.Result[messages.Rows, messages.ReadFailure]:
         """Decodes the answer to any that reads."""
@@ -75,15 +75,15 @@
             lambda bad: messages.ReadFailure.UNREADABLE
         )
 
-    def read_configuration(
+    def decode_configuration(
         self, row: messages.Row
     ) -> result.Result[routes.Configuration, failures.Failure] | None:
         """Decodes a row; None where it isn't the configuration."""
         if row.key != rows.CONFIGURATION_KEY or row.removed:
             return None
-        return documents.read_configuration(row.value)
+        return documents.decode_configuration(row.value)
 
-    def read_runner(
+    def decode_runner(
         self, row: messages.Row
     ) -> result.Result[fleet.Runner, errors.BadEntry]:
         """Decodes a row of the registry."""
--- a/pollenfork/platform/tests/test_caches.py
+++ b/pollenfork/platform/tests/test_caches.py
@@ -20,11 +20,11 @@
 
 
 def test_the_calls_go_to_the_runner_and_say_how_long_they_wait() -> None:
-    assert caches.write_feed_ask(RUNNER, 44, 1.0) == (
+    assert caches.encode_feed_request(RUNNER, 44, 1.0) == (
         b"GET /api/kv-events?since=44 HTTP/1.1\r\n"
         b"host: 10.0.0.1:8407\r\nwait-ms: 1000\r\n\r\n"
     )
-    assert caches.write_list_ask(RUNNER) == (
+    assert caches.encode_list_request(RUNNER) == (
         b"GET /api/kv-list HTTP/1.1\r\nhost: 10.0.0.1:8407\r\n\r\n"
     )
 
@@ -35,19 +35,19 @@
         b'[[11,"+","","e129f473a0f0",242,"m"],[12,"-","","e129f473a0f0",0,"m"]]}'
     )
     lost = messages.CacheChange(b"e129f473a0f0", False)
-    assert caches.read_feed(200, body).ok_value == messages.CacheReport(
+    assert caches.decode_feed(200, body).ok_value == messages.CacheReport(
         (KEPT, lost), 12, gap=True, epoch="7"
     )
 
 
 def test_a_list_is_whole() -> None:
     body = b'{"epoch":7,"next":44,"held":[["","e129f473a0f0",242,"m"]]}'
-    assert caches.read_list(200, body).ok_value == messages.CacheReport(
+    assert caches.decode_list(200, body).ok_value == messages.CacheReport(
         (KEPT,), 44, complete=True, epoch="7"
     )
 
 
-@pytest.mark.parametrize("read", [caches.read_feed, caches.read_list])
+@pytest.mark.parametrize("read", [caches.decode_feed, caches.decode_list])
 def test_a_runner_may_say_when_it_started(read) -> None:
     told = read(200, b'{"epoch":"x","next":1,"born":1764712843123}').unwrap()
     assert (told.epoch, told.start) == ("x", 1764712843123)
@@ -57,7 +57,7 @@
         assert isinstance(read(200, answer), result.Err)
 
 
-@pytest.mark.parametrize("read", [caches.read_feed, caches.read_list])
+@pytest.mark.parametrize("read", [caches.decode_feed, caches.decode_list])
 @pytest.mark.parametrize(
     ("status", "body"), [(429, b""), (200, b"{"), (200, b'{"next":"x"}')]
 )
--- a/pollenfork/platform/tests/test_documents.py
+++ b/pollenfork/platform/tests/test_documents.py
@@ -57,7 +57,7 @@
 
 
 def read(config: dict):
-    return documents.read_configuration(json.dumps(config).encode())
+    return documents.decode_configuration(json.dumps(config).encode())
 
 
 def test_a_configuration_is_decoded_whole() -> None:
@@ -86,7 +86,7 @@
 
 def test_what_cannot_be_decoded_is_an_error() -> None:
     for bad in (b"", b"{}", b'{"version":"x"}'):
-        assert isinstance(documents.read_configuration(bad), result.Err)
+        assert isinstance(documents.decode_configuration(bad), result.Err)
     strange = {**CONFIG, "routes": [{**ROUTE, "kind": "sometimes"}]}
     assert isinstance(read(strange), result.Err)
 
@@ -125,22 +125,24 @@
 def test_asks_are_written_as_whole_requests() -> None:
     platform = store.Store("10.0.0.1:80")
     ask = messages.ReadCall(after=530, wait_s=1.5, timeout_s=2.0)
-    assert platform.write_configuration_ask(ask) == (
+    assert platform.encode_configuration_request(ask) == (
         b"GET /api/rows-feed?table=op&after-revision=530&wait-ms=1500 HTTP/1.1"
         b"\r\nhost: 10.0.0.1:80\r\n\r\n"
     )
     ask = messages.ReadCall(after=None, start="a\0", timeout_s=2.0)
-    assert b"table=servers&part=&from=a%00 " in platform.write_runners_ask(ask)
+    assert b"table=servers&part=&from=a%00 " in platform.encode_runners_request(
+        ask
+    )
 
 
 def test_statuses_tell_forgotten_history_from_refusal() -> None:
     platform = store.Store("h")
-    gone = platform.read_rows(410, b"").unwrap_err()
+    gone = platform.decode_rows(410, b"").unwrap_err()
     assert gone is messages.ReadFailure.HISTORY_GONE
-    assert platform.read_rows(503, b"").unwrap_err() is (
+    assert platform.decode_rows(503, b"").unwrap_err() is (
         messages.ReadFailure.REFUSED
     )
-    assert platform.read_rows(200, b"?").unwrap_err() is (
+    assert platform.decode_rows(200, b"?").unwrap_err() is (
         messages.ReadFailure.UNREADABLE
     )
 
--- a/pollenfork/platform/tests/test_entries.py
+++ b/pollenfork/platform/tests/test_entries.py
@@ -29,7 +29,7 @@
 
 
 def read(value: bytes, key: str = "i-7"):
-    return PLATFORM.read_runner(messages.Row(key, value, 1))
+    return PLATFORM.decode_runner(messages.Row(key, value, 1))
 
 
 def find_fault(entry: object, key: str = "i-7") -> Fault | None:
@@ -168,11 +168,11 @@
         {"key": "d", "value": good, "row-version": 6},
     ]
     body = json.dumps({"row-version": 7, "rows": told}).encode()
-    read_rows = rows.read(body).unwrap().rows
+    decoded = rows.read(body).unwrap().rows
     named = [
         row.key
-        for row in read_rows
-        if isinstance(PLATFORM.read_runner(row), result.Ok)
+        for row in decoded
+        if isinstance(PLATFORM.decode_runner(row), result.Ok)
     ]
     assert named == ["a", "d"]
-    assert [row.version for row in read_rows] == [3, 4, 5, 6]
+    assert [row.version for row in decoded] == [3, 4, 5, 6]
