--- a/pollenfork/platform/__init__.py
+++ b/pollenfork/platform/__init__.py
@@ -1,5 +1,5 @@
 """The adapter to the operations platform: its names, formats and calls.
 
-Nothing here decides. Each module decodes one kind of message into the
-product's types, or encodes them, and no other package knows the spelling.
+It holds no policy. Each module converts one kind of message to or from the
+project's own types; no other package contains the platform's field names.
 """
--- a/pollenfork/platform/__main__.py
+++ b/pollenfork/platform/__main__.py
@@ -2,8 +2,8 @@
 
 import signal
 
-# News of changed settings may come while the modules below load, for a third
-# of a second, and would end a process that doesn't expect it.
+# SIGHUP, which announces changed settings, may arrive while the modules below
+# load (a third of a second) and would end the process by default.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import asyncio  # noqa: E402
@@ -28,15 +28,15 @@
 
 
 def main() -> int:
-    """Runs until told to stop; returns the exit status."""
-    read = _read_settings()
-    if isinstance(read, result.Err):
-        sys.stderr.write(f"pollenfork: {read.err_value.detail}\n")
+    """Runs the gateway until it is stopped; returns the exit status."""
+    loaded = _read_settings()
+    if isinstance(loaded, result.Err):
+        sys.stderr.write(f"pollenfork: {loaded.err_value.detail}\n")
         return status.ExitStatus.ERROR
-    told = read.ok_value
-    handler = logs.configure_bounded(sys.stdout, told.instance)
+    config = loaded.ok_value
+    handler = logs.configure_bounded(sys.stdout, config.instance)
     with asyncio.Runner(loop_factory=eventloop.EventLoop) as runner:
-        runner.run(_serve(told, handler))
+        runner.run(_serve(config, handler))
     return status.ExitStatus.SUCCESS
 
 
@@ -44,30 +44,30 @@
     settings.GatewaySettings, boot.BadSettings
 ]:
     path = os.environ.get(names.SETTINGS_VARIABLE, names.SETTINGS_PATH)
-    return boot.read(pathlib.Path(path))
+    return boot.load(pathlib.Path(path))
 
 
 async def _serve(
-    told: settings.GatewaySettings, handler: logs.BoundedHandler
+    config: settings.GatewaySettings, handler: logs.BoundedHandler
 ) -> None:
-    rows = store.Store(f"{told.store.host}:{told.store.port}")
-    made = application.Application(
-        told,
+    row_store = store.Store(f"{config.store.host}:{config.store.port}")
+    gateway = application.Application(
+        config,
         heads,
-        rows,
+        row_store,
         caches,
         lambda duties: cloud.Cloud(
-            f"{duties.platform.host}:{duties.platform.port}", told.instance
+            f"{duties.platform.host}:{duties.platform.port}", config.instance
         ),
         random.Random(),
         _read_settings,
     )
-    made.counters.when_scraped(
-        lambda shown: shown.set_count(
+    gateway.counters.when_scraped(
+        lambda metrics: metrics.set_count(
             "pollenfork_log_lines_missing_total", handler.missing
         )
     )
-    await made.run()
+    await gateway.run()
 
 
 if __name__ == "__main__":
--- a/pollenfork/platform/boot.py
+++ b/pollenfork/platform/boot.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, decoded."""
+"""Reads a process's settings file."""
 
 import pathlib
 import tomllib
@@ -11,25 +11,25 @@
 from pollenfork.gateway import settings
 from pollenfork.platform import names
 
-# Where metrics are shown, on the machine's own address. The deploy file names
-# the same port.
+# The port that serves metrics, on the machine's own address. The deploy file
+# names the same port.
 METRICS_PORT = 9464
 
 
 class BadSettings(failures.Failure, frozen=True, kw_only=True):
-    """The settings file can't be read."""
+    """The settings file can't be read or decoded."""
 
 
-class _Wire(msgspec.Struct, rename="kebab"):
-    """A table whose names are written with hyphens."""
+class _KebabTable(msgspec.Struct, rename="kebab"):
+    """A TOML table whose keys are written in kebab case."""
 
 
-class _Listen(_Wire):
+class _Listen(_KebabTable):
     front: str
     readiness: str = ""
 
 
-class _Bounds(_Wire):
+class _Bounds(_KebabTable):
     grace_s: float = 8.0
     revoke_ms: float = 5000.0
     strict_revocation: bool = True
@@ -41,16 +41,16 @@
     lease_ms: float = 3000.0
 
 
-class _Cloud(_Wire):
+class _Cloud(_KebabTable):
     address: str = ""
     duties: list[str] = []
 
 
-class _Platform(_Wire):
+class _Platform(_KebabTable):
     address: str
 
 
-class _Boot(_Wire):
+class _Boot(_KebabTable):
     node_name: str
     zone: str
     ip: str
@@ -63,7 +63,7 @@
     bounds: _Bounds = msgspec.field(default_factory=_Bounds)
 
 
-def read(
+def load(
     path: pathlib.Path,
 ) -> result.Result[settings.GatewaySettings, BadSettings]:
     """Reads and decodes the settings file at `path`."""
@@ -80,15 +80,15 @@
     return settings.GatewaySettings(
         instance=ids.InstanceId(boot.node_name),
         data_centre=ids.DataCentre(boot.zone),
-        front=_split_address(boot.listen.front),
-        readiness=_split_address(readiness),
+        front=_parse_address(boot.listen.front),
+        readiness=_parse_address(readiness),
         metrics=settings.Address(boot.ip, METRICS_PORT),
-        store=_split_address(boot.platform.address),
-        peer=_find_peer(boot, boot.ip),
+        store=_parse_address(boot.platform.address),
+        peer=_make_peer_address(boot, boot.ip),
         seeds=tuple(
             peer
             for seed in boot.seeds
-            if (peer := _find_peer(boot, _split_address(seed).host))
+            if (peer := _make_peer_address(boot, _parse_address(seed).host))
         ),
         grace_s=bounds.grace_s,
         revocation_s=(
@@ -103,26 +103,26 @@
 
 
 def _make_duties(boot: _Boot) -> settings.DutySettings | None:
-    asked = {*boot.cloud.duties} & {names.REPORTS, names.SCALES}
-    if not asked:
+    enabled = {*boot.cloud.duties} & {names.REPORTING_DUTY, names.SCALING_DUTY}
+    if not enabled:
         return None
     return settings.DutySettings(
-        platform=_split_address(boot.cloud.address),
-        reports=names.REPORTS in asked,
-        scales=names.SCALES in asked,
+        platform=_parse_address(boot.cloud.address),
+        reports=names.REPORTING_DUTY in enabled,
+        scales=names.SCALING_DUTY in enabled,
         window_s=boot.bounds.usage_window_s,
         due_s=boot.bounds.usage_late_s,
         alternation_s=boot.bounds.lease_ms / 1000.0,
     )
 
 
-def _find_peer(boot: _Boot, host: str) -> settings.Address | None:
-    """Returns where an instance hears others; ports are alike everywhere."""
+def _make_peer_address(boot: _Boot, host: str) -> settings.Address | None:
+    """Returns an instance's peer address; all use the same port."""
     if not boot.internal_ports:
         return None
     return settings.Address(host, boot.internal_ports[0])
 
 
-def _split_address(text: str) -> settings.Address:
+def _parse_address(text: str) -> settings.Address:
     host, _, port = text.rpartition(":")
     return settings.Address(host, int(port))
--- a/pollenfork/platform/caches.py
+++ b/pollenfork/platform/caches.py
@@ -1,4 +1,4 @@
-"""A runner's calls about the parts of prompts that it keeps."""
+"""Encodes and decodes calls that ask which prompt parts a runner caches."""
 
 import msgspec
 import result
@@ -10,93 +10,93 @@
 from pollenfork.platform import names
 
 _OK = 200
-_KEPT = "+"
+_ADDED = "+"
 
 
-class BadCacheNews(failures.Failure, frozen=True, kw_only=True):
-    """A runner's answer doesn't tell what it keeps."""
+class BadCacheReport(failures.Failure, frozen=True, kw_only=True):
+    """A runner's response doesn't say what it caches."""
 
 
 class _Event(msgspec.Struct, array_like=True):
-    number: int
-    sign: str
-    wall: str  # Empty on these deployments.
+    sequence: int
+    operation: str
+    wall: str  # Always empty on these deployments.
     part: str
-    tokens: int  # Kept now, a whole number of the runner's blocks.
+    tokens: int  # Cached now; a multiple of the block size.
 
 
-class _Held(msgspec.Struct, array_like=True):
+class _CachedPart(msgspec.Struct, array_like=True):
     wall: str
     part: str
     tokens: int
 
 
-class _News(msgspec.Struct):
-    next: int  # The number after which the next call goes on.
+class _Reply(msgspec.Struct):
+    next: int  # The sequence number to continue after.
     lost: bool = False
-    events: list[_Event] = []  # Of a feed.
-    held: list[_Held] = []  # Of a list.
+    events: list[_Event] = []  # In the response to a feed request.
+    held: list[_CachedPart] = []  # In the response to a list request.
     epoch: int | str = ""
     born: int | msgspec.UnsetType = msgspec.UNSET
 
 
-_DECODER = msgspec.json.Decoder(_News)
+_DECODER = msgspec.json.Decoder(_Reply)
 
 
 def encode_feed_request(
     runner: fleet.Runner, after: int, wait_s: float
 ) -> bytes:
-    """Returns the request for the changes after one, as they come."""
+    """Returns the long-poll request for changes after a sequence number."""
     target = f"{names.CACHE_FEED_PATH}?since={after}"
-    extra = names.FEED_WAIT + b": %d\r\n" % int(wait_s * 1000)
-    return _write(runner, target, extra)
+    extra = names.FEED_WAIT_MS + b": %d\r\n" % int(wait_s * 1000)
+    return _encode(runner, target, extra)
 
 
 def encode_list_request(runner: fleet.Runner) -> bytes:
-    """Returns the request for all parts kept; it delays the runner's work."""
-    return _write(runner, names.CACHE_LIST_PATH)
+    """Returns the request for all cached parts, which delays the runner."""
+    return _encode(runner, names.CACHE_LIST_PATH)
 
 
 def decode_feed(
     status: int, body: bytes
-) -> result.Result[messages.CacheReport, BadCacheNews]:
-    """Decodes the answer to the first."""
-    return _decode(status, body).map(lambda told: _make_news(told, whole=False))
+) -> result.Result[messages.CacheReport, BadCacheReport]:
+    """Decodes the response to a feed request."""
+    return _decode(status, body).map(lambda raw: _convert(raw, complete=False))
 
 
 def decode_list(
     status: int, body: bytes
-) -> result.Result[messages.CacheReport, BadCacheNews]:
-    """Decodes the answer to the second."""
-    return _decode(status, body).map(lambda told: _make_news(told, whole=True))
+) -> result.Result[messages.CacheReport, BadCacheReport]:
+    """Decodes the response to a list request."""
+    return _decode(status, body).map(lambda raw: _convert(raw, complete=True))
 
 
-def _make_news(told: _News, whole: bool) -> messages.CacheReport:
-    changed = [(each.part, each.sign == _KEPT) for each in told.events]
-    held = [(each.part, True) for each in told.held]
+def _convert(raw: _Reply, complete: bool) -> messages.CacheReport:
+    changes = [(each.part, each.operation == _ADDED) for each in raw.events]
+    held = [(each.part, True) for each in raw.held]
     return messages.CacheReport(
         tuple(
-            messages.CacheChange(part.encode(), kept)
-            for part, kept in (held if whole else changed)
+            messages.CacheChange(part.encode(), cached)
+            for part, cached in (held if complete else changes)
         ),
-        told.next,
-        complete=whole,
-        gap=told.lost,
-        epoch=str(told.epoch),
-        start=entries.read_start(told.born),
+        raw.next,
+        complete=complete,
+        gap=raw.lost,
+        epoch=str(raw.epoch),
+        start=entries.decode_start(raw.born),
     )
 
 
-def _decode(status: int, body: bytes) -> result.Result[_News, BadCacheNews]:
+def _decode(status: int, body: bytes) -> result.Result[_Reply, BadCacheReport]:
     if status != _OK:
-        return result.Err(BadCacheNews(detail=f"status {status}"))
+        return result.Err(BadCacheReport(detail=f"status {status}"))
     try:
         return result.Ok(_DECODER.decode(body))
     except msgspec.MsgspecError as error:
-        return result.Err(BadCacheNews(detail=str(error)))
+        return result.Err(BadCacheReport(detail=str(error)))
 
 
-def _write(runner: fleet.Runner, target: str, extra: bytes = b"") -> bytes:
+def _encode(runner: fleet.Runner, target: str, extra: bytes = b"") -> bytes:
     host = f"{runner.host}:{runner.port}"
     head = f"GET {target} HTTP/1.1\r\nhost: {host}\r\n"
     return head.encode() + extra + b"\r\n"
--- a/pollenfork/platform/cloud.py
+++ b/pollenfork/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's calls that one instance at a time makes, as whole requests."""
+"""Encodes the platform calls that only the duty holder makes."""
 
 import msgspec
 
@@ -27,28 +27,25 @@
 
 
 class Cloud(msgspec.Struct, frozen=True):
-    """The calls at one address.
+    """Encodes calls to the platform at one address.
 
     Attributes:
-        host: The platform's `host:port`.
+        host: The platform's host and port, for the `Host` header.
         instance: This instance's name.
     """
 
     host: str
     instance: ids.InstanceId
 
-    def encode_call(self, task: messages.PlatformCall) -> bytes:
-        """Returns the request that tells or orders something."""
-        work = task.work
+    def encode_call(self, call: messages.PlatformCall) -> bytes:
+        """Returns the request that reports usage or orders runners."""
+        work = call.work
         if isinstance(work, rows.ScalingOrder):
             path = names.SCALING_PATH
-            about = work.subject
+            pool = work.subject
             body = msgspec.json.encode(
                 _Scaling(
-                    about.service,
-                    about.data_centre,
-                    work.count,
-                    about.reclaimable,
+                    pool.service, pool.data_centre, work.count, pool.reclaimable
                 )
             )
         else:
@@ -56,15 +53,15 @@
             body = msgspec.json.encode(_Usage(work.window, work.counts))
         head = (
             f"POST {path} HTTP/1.1\r\nHost: {self.host}\r\n"
-            f"{names.HOLDER}: {self.instance}\r\n"
-            f"{names.FENCING}: {task.fencing}\r\n"
+            f"{names.DUTY_HOLDER}: {self.instance}\r\n"
+            f"{names.FENCING_TOKEN}: {call.fencing}\r\n"
             "Content-Type: application/json\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
         )
         return head.encode() + body
 
     def decode_reply(self, status: int) -> messages.Reply:
-        """Decodes the status of an answer."""
+        """Decodes the status of a response."""
         if status >= 500:
             return messages.Reply.BUSY
         return _REPLIES.get(status, messages.Reply.REJECTED)
--- a/pollenfork/platform/documents.py
+++ b/pollenfork/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded."""
+"""Decodes the operators' configuration."""
 
 import msgspec
 import result
@@ -9,19 +9,19 @@
 
 
 class BadDocument(failures.Failure, frozen=True, kw_only=True):
-    """A row of the store doesn't hold what it should."""
+    """The configuration in the store can't be decoded."""
 
 
-class _Wire(msgspec.Struct, rename="kebab"):
-    """A JSON object whose names are written with hyphens."""
+class _KebabObject(msgspec.Struct, rename="kebab"):
+    """A JSON object whose keys are written in kebab case."""
 
 
-class _Split(_Wire):
+class _Split(_KebabObject):
     service: str
     weight: float = 1.0
 
 
-class _Route(_Wire):
+class _Route(_KebabObject):
     name: str
     host: str
     prefix: str
@@ -38,14 +38,14 @@
     target_gap_ms: float = 0.0
 
 
-class _Engine(_Wire):
+class _Engine(_KebabObject):
     slots: int = 0
     kv_capacity_tokens: int = 0
     kv_token_bytes: float = 0.0
     link_mbps: float = 0.0
 
 
-class _Scaling(_Wire):
+class _Scaling(_KebabObject):
     min_replicas: int = 0
     max_replicas: int = 0
     boot_time_s: float = 0.0
@@ -53,7 +53,7 @@
     zone_prices: dict[ids.DataCentre, float] = {}
 
 
-class _Service(_Wire):
+class _Service(_KebabObject):
     name: str
     health_path: str = "/health"
     max_connections: int = 0
@@ -61,20 +61,20 @@
     scaling: _Scaling | None = None
 
 
-class _Limits(_Wire):
+class _Limits(_KebabObject):
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
     header_timeout_ms: float = 3000.0
     idle_timeout_ms: float = 15000.0
 
 
-class _Tenant(_Wire):
+class _Tenant(_KebabObject):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
 
 
-class _Config(_Wire):
+class _Config(_KebabObject):
     version: int
     routes: list[_Route] = []
     services: list[_Service] = []
@@ -82,7 +82,7 @@
     tenants: list[_Tenant] | None = None
 
 
-_KINDS = {
+_KINDS_BY_NAME = {
     "safe": routes.Kind.REPEATABLE,
     "unsafe": routes.Kind.AT_MOST_ONCE,
     "stream": routes.Kind.STREAM,
@@ -93,23 +93,23 @@
 def decode_configuration(
     value: bytes,
 ) -> result.Result[routes.Configuration, BadDocument]:
-    """Decodes the operator's configuration."""
+    """Decodes the operators' configuration from a row's value."""
     try:
-        wire = _CONFIG.decode(value)
-        configuration = _make_configuration(wire)
+        document = _CONFIG.decode(value)
+        configuration = _make_configuration(document)
     except (msgspec.MsgspecError, KeyError) as error:
         return result.Err(BadDocument(detail=f"configuration: {error}"))
     return result.Ok(configuration)
 
 
-def _make_configuration(wire: _Config) -> routes.Configuration:
-    limits = wire.limits
+def _make_configuration(document: _Config) -> routes.Configuration:
+    limits = document.limits
     return routes.Configuration(
-        version=wire.version,
-        routes=tuple(_make_route(route) for route in wire.routes),
+        version=document.version,
+        routes=tuple(_make_route(route) for route in document.routes),
         services={
             ids.ServiceName(service.name): _make_service(service)
-            for service in wire.services
+            for service in document.services
         },
         limits=routes.CallerLimits(
             header_bytes=limits.max_header_bytes,
@@ -117,66 +117,66 @@
             header_s=limits.header_timeout_ms / 1000.0,
             idle_s=limits.idle_timeout_ms / 1000.0,
         ),
-        accounts=_make_accounts(wire.tenants),
+        accounts=_make_accounts(document.tenants),
     )
 
 
-def _make_route(wire: _Route) -> routes.Route:
-    targets = wire.traffic_split or [_Split(service=wire.service)]
+def _make_route(document: _Route) -> routes.Route:
+    targets = document.traffic_split or [_Split(service=document.service)]
     return routes.Route(
-        name=wire.name,
-        host=wire.host.lower(),
-        prefix=wire.prefix,
-        kind=_KINDS[wire.kind],
-        time_limit_s=wire.timeout_ms / 1000.0,
-        target_s=wire.target_latency_ms / 1000.0,
-        gap_s=wire.target_gap_ms / 1000.0,
-        tier=ids.Tier(wire.priority),
+        name=document.name,
+        host=document.host.lower(),
+        prefix=document.prefix,
+        kind=_KINDS_BY_NAME[document.kind],
+        time_limit_s=document.timeout_ms / 1000.0,
+        target_s=document.target_latency_ms / 1000.0,
+        gap_s=document.target_gap_ms / 1000.0,
+        tier=ids.Tier(document.priority),
         targets=tuple(
             routes.Target(ids.ServiceName(split.service), split.weight)
             for split in targets
         ),
-        attempts=max(1, wire.max_attempts),
-        public=wire.public,
-        resumable=wire.stream_resume,
-        prefix_affinity=wire.session_affinity,
+        attempts=max(1, document.max_attempts),
+        public=document.public,
+        resumable=document.stream_resume,
+        prefix_affinity=document.session_affinity,
     )
 
 
-def _make_service(wire: _Service) -> routes.Service:
-    engine = wire.engine or _Engine()
+def _make_service(document: _Service) -> routes.Service:
+    engine = document.engine or _Engine()
     copy_s = None
     if engine.kv_token_bytes > 0 and engine.link_mbps > 0:
         copy_s = engine.kv_token_bytes * 8 / (engine.link_mbps * 1e6)
     return routes.Service(
-        name=ids.ServiceName(wire.name),
-        health_path=wire.health_path,
-        max_connections=wire.max_connections,
+        name=ids.ServiceName(document.name),
+        health_path=document.health_path,
+        max_connections=document.max_connections,
         cache_tokens=engine.kv_capacity_tokens,
         copy_s=copy_s,
-        scaling=_make_scaling(wire.scaling),
+        scaling=_make_scaling(document.scaling),
     )
 
 
-def _make_scaling(wire: _Scaling | None) -> routes.Scaling | None:
-    if wire is None or not wire.zone_prices:
+def _make_scaling(document: _Scaling | None) -> routes.Scaling | None:
+    if document is None or not document.zone_prices:
         return None
     return routes.Scaling(
-        min_runners=wire.min_replicas,
-        max_runners=wire.max_replicas,
-        boot_s=wire.boot_time_s,
-        reclaimable_price=wire.spot_price,
-        prices=wire.zone_prices,
+        min_runners=document.min_replicas,
+        max_runners=document.max_replicas,
+        boot_s=document.boot_time_s,
+        reclaimable_price=document.spot_price,
+        prices=document.zone_prices,
     )
 
 
 def _make_accounts(
-    wire: list[_Tenant] | None,
+    document: list[_Tenant] | None,
 ) -> dict[str, routes.Account] | None:
-    if wire is None:
+    if document is None:
         return None
     accounts = {}
-    for tenant in wire:
+    for tenant in document:
         tier = None if tenant.priority is None else ids.Tier(tenant.priority)
         account = routes.Account(ids.AccountId(tenant.name), tier)
         for key in tenant.api_keys:
--- a/pollenfork/platform/entries.py
+++ b/pollenfork/platform/entries.py
@@ -1,8 +1,8 @@
-"""The runners' entries, checked and decoded.
+"""Validates and decodes the entries of runners in the registry.
 
-Runners write them, but whoever else can write to the table may leave anything
-there. An entry names a runner only if every field that runners write is there
-and means something; one that doesn't is told with the first thing wrong.
+Runners write them, but any other writer of the table may leave anything there.
+An entry is accepted only if every field that runners write is present and
+valid; otherwise the first fault found is returned.
 """
 
 import ipaddress
@@ -18,22 +18,22 @@
 from pollenfork.fleet import model as fleet
 
 _Fault = errors.EntryFault
-_Faulty = result.Err[errors.BadEntry]
+_Failed = result.Err[errors.BadEntry]
 
-_LARGEST_PORT = 65_535
-# More places than any runner has; a larger number is nobody's.
-_LARGEST_SLOTS = 1_000_000
+_MAX_PORT = 65_535
+# More slots than any runner has; larger values are rejected.
+_MAX_SLOTS = 1_000_000
 _READY = "ready"
 _STATES = frozenset({_READY, "draining"})
-# An id goes into the head of each request to its runner.
+# The id is sent in a header of each request to the runner.
 _ID = re.compile(r"[!-~]{1,200}")
 
 
 class _Entry(msgspec.Struct, rename="kebab"):
-    """What runners write, but for what isn't used and may be missing.
+    """The fields of an entry, without unused optional ones.
 
-    `born` is missing where a runner says nothing of its start, `stage` and
-    `models` at plain services.
+    `born` is missing if a runner doesn't report its start; plain services
+    have no `stage` and `models`.
     """
 
     service: str
@@ -57,7 +57,7 @@
 )
 
 
-def read(
+def decode(
     key: str, value: bytes
 ) -> result.Result[fleet.Runner, errors.BadEntry]:
     """Decodes one runner's entry.
@@ -66,39 +66,39 @@
         key: The row's key, which is the runner's id.
         value: The row's bytes.
     """
-    return _decode(value).and_then(lambda entry: _check(key, entry))
+    return _parse(value).and_then(lambda entry: _validate(key, entry))
 
 
-def read_start(born: int | msgspec.UnsetType) -> ids.RunnerStart | None:
-    """Returns when a runner started; None where it doesn't say."""
+def decode_start(born: int | msgspec.UnsetType) -> ids.RunnerStart | None:
+    """Returns when a runner started; None if it isn't reported."""
     return None if born is msgspec.UNSET else ids.RunnerStart(born)
 
 
-def _decode(value: bytes) -> result.Result[_Entry, errors.BadEntry]:
+def _parse(value: bytes) -> result.Result[_Entry, errors.BadEntry]:
     try:
-        told = msgspec.json.decode(value)
+        fields = msgspec.json.decode(value)
     except (msgspec.MsgspecError, RecursionError) as error:
         return _fail(_Fault.NOT_DECODABLE, str(error))
-    if not isinstance(told, dict):
+    if not isinstance(fields, dict):
         return _fail(_Fault.NOT_DECODABLE, "not an object")
-    missing = _REQUIRED - told.keys()
+    missing = _REQUIRED - fields.keys()
     if missing:
         return _fail(_Fault.MISSING_FIELD, ", ".join(sorted(missing)))
     try:
-        return result.Ok(msgspec.convert(told, _Entry))
+        return result.Ok(msgspec.convert(fields, _Entry))
     except msgspec.ValidationError as error:
         return _fail(_Fault.OTHER_TYPE, str(error))
 
 
-def _check(
+def _validate(
     key: str, entry: _Entry
 ) -> result.Result[fleet.Runner, errors.BadEntry]:
-    wrong = _find_out_of_range(key, entry)
-    if wrong is not None:
-        return _fail(_Fault.OUT_OF_RANGE, wrong)
+    field = _find_out_of_range(key, entry)
+    if field is not None:
+        return _fail(_Fault.OUT_OF_RANGE, field)
     if entry.state not in _STATES:
         return _fail(_Fault.UNKNOWN_STATE, entry.state)
-    address = _read_address(entry.address)
+    address = _parse_address(entry.address)
     if address is None:
         return _fail(_Fault.NO_ADDRESS, entry.address)
     host, port = address
@@ -112,7 +112,7 @@
             slots=entry.slots,
             leaving=entry.state != _READY,
             cold_s=entry.cold_remaining_ms / 1000.0,
-            start=read_start(entry.born),
+            start=decode_start(entry.born),
             sequence=entry.sequence,
             reclaimable=entry.spot,
         )
@@ -120,22 +120,22 @@
 
 
 def _find_out_of_range(key: str, entry: _Entry) -> str | None:
-    """Returns the name of a field whose value can't be a runner's."""
+    """Returns the name of the first field whose value is out of range."""
     cold_ms = entry.cold_remaining_ms
-    fits = {
+    valid = {
         "id": _ID.fullmatch(key) is not None,
         "service": bool(entry.service),
         "zone": bool(entry.zone),
-        "slots": 0 < entry.slots <= _LARGEST_SLOTS,
+        "slots": 0 < entry.slots <= _MAX_SLOTS,
         "cold-remaining-ms": math.isfinite(cold_ms) and cold_ms >= 0.0,
         "sequence": entry.sequence >= 0,
         "born": entry.born is msgspec.UNSET or entry.born >= 0,
     }
-    return next((name for name, holds in fits.items() if not holds), None)
+    return next((name for name, passed in valid.items() if not passed), None)
 
 
-def _read_address(text: str) -> tuple[str, int] | None:
-    """Returns host and port; None where nothing can be connected to."""
+def _parse_address(text: str) -> tuple[str, int] | None:
+    """Returns host and port; None if they aren't a usable address."""
     host, _, digits = text.rpartition(":")
     try:
         address = ipaddress.IPv4Address(host)
@@ -143,10 +143,10 @@
         return None
     is_number = digits.isascii() and digits.isdigit() and len(digits) <= 5
     port = int(digits) if is_number else 0
-    if not 0 < port <= _LARGEST_PORT or address.is_unspecified:
+    if not 0 < port <= _MAX_PORT or address.is_unspecified:
         return None
     return host, port
 
 
-def _fail(fault: _Fault, detail: str) -> _Faulty:
+def _fail(fault: _Fault, detail: str) -> _Failed:
     return result.Err(errors.BadEntry(detail=detail, fault=fault))
--- a/pollenfork/platform/heads.py
+++ b/pollenfork/platform/heads.py
@@ -1,4 +1,4 @@
-"""HTTP heads of callers and runners, decoded and encoded."""
+"""Decodes and encodes the HTTP heads of callers and runners."""
 
 from collections.abc import Iterable
 import math
@@ -10,8 +10,8 @@
 
 Header = tuple[bytes, bytes]
 
-# Headers that concern one connection only, besides those it names itself.
-_HOP = frozenset(
+# Hop-by-hop headers, besides those that a `Connection` header lists.
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -26,12 +26,12 @@
         b"content-length",
     }
 )
-# What a caller's `Connection` header can't take away from its request.
-_KEPT = frozenset(
+# Headers that a caller can't drop by listing them in `Connection`.
+_PROTECTED = frozenset(
     {names.ATTEMPT, names.MODEL, names.TOKENS, names.PROMPT_PARTS, b"host"}
 )
-# More than one of these would let two readers see two requests.
-_SINGLE = frozenset(
+# Repeated, these could be read as different requests by different servers.
+_SINGLE_VALUED = frozenset(
     {
         names.ATTEMPT,
         names.DEADLINE,
@@ -45,41 +45,41 @@
     }
 )
 _SCHEME = b"bearer "
-_MAX_URGENCY = 9
-_DISPLACED = 421
+_MAX_PRIORITY = 9
+_MISDIRECTED = 421
 
 
 def find_duplicate(headers: list[Header]) -> bytes | None:
-    """Returns a header that may stand once and stands more often."""
+    """Returns the name of a single-valued header that occurs repeatedly."""
     seen = set()
     for name, _ in headers:
-        if name in seen and name in _SINGLE:
+        if name in seen and name in _SINGLE_VALUED:
             return name
         seen.add(name)
     return None
 
 
 def decode_request(headers: list[Header]) -> messages.RequestHead:
-    """Decodes what a caller's headers say of its request.
+    """Decodes the headers of a caller's request.
 
     Args:
-        headers: Names in lower case, values as sent.
+        headers: Names in lower case, values as received.
     """
     found = dict(headers)
     return messages.RequestHead(
         attempt=ids.AttemptId(found.get(names.ATTEMPT, b"").decode("latin-1")),
-        key=_read_key(found.get(names.AUTHORIZATION)),
-        wait_s=_read_seconds(found.get(names.DEADLINE)),
-        parts=_read_parts(found.get(names.PROMPT_PARTS)),
-        tokens=_read_tokens(found.get(names.TOKENS)),
-        last_event=_read_whole(found.get(names.LAST_EVENT)),
+        key=_parse_key(found.get(names.AUTHORIZATION)),
+        wait_s=_parse_seconds(found.get(names.DEADLINE)),
+        parts=_parse_parts(found.get(names.PROMPT_PARTS)),
+        tokens=_parse_tokens(found.get(names.TOKENS)),
+        last_event=_parse_integer(found.get(names.LAST_EVENT)),
     )
 
 
 def encode_request(
     call: messages.Request, sending: messages.ForwardContext
 ) -> bytes:
-    """Returns the head that hands a caller's request to a runner."""
+    """Encodes a caller's request for a runner."""
     lines = [b"%b %b HTTP/1.1" % (call.method, call.target)]
     dropped = _list_dropped(call.headers)
     if sending.last_event is not None:
@@ -97,8 +97,8 @@
     if sending.account is not None:
         lines.append(names.ACCOUNT + b": " + sending.account.encode())
     if sending.tier is not None:
-        urgency = min(_MAX_URGENCY, max(0, sending.tier))
-        lines.append(names.URGENCY + b": %d" % urgency)
+        priority = min(_MAX_PRIORITY, max(0, sending.tier))
+        lines.append(names.PRIORITY + b": %d" % priority)
     if call.body or call.method not in (b"GET", b"HEAD", b"DELETE"):
         lines.append(b"content-length: %d" % len(call.body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + call.body
@@ -107,29 +107,29 @@
 def decode_response(
     status: int, headers: list[Header]
 ) -> messages.ResponseHead:
-    """Decodes a runner's head."""
+    """Decodes a runner's response head."""
     found = dict(headers)
     return messages.ResponseHead(
         status=status,
         attempt=ids.AttemptId(found.get(names.ATTEMPT, b"").decode("latin-1")),
         sealed=names.SEAL in found,
-        not_run=names.NOT_RUN in found or status == _DISPLACED,
-        displaced=status == _DISPLACED,
+        not_run=names.NOT_RUN in found or status == _MISDIRECTED,
+        displaced=status == _MISDIRECTED,
         events=found.get(b"content-type", b"").startswith(b"text/event-stream"),
         headers=headers,
-        rates=_read_rates(headers),
+        rates=_parse_rates(headers),
     )
 
 
 def encode_response(
     head: messages.ResponseHead, length: int | None, closing: bool
 ) -> bytes:
-    """Returns the head that hands a runner's answer to the caller.
+    """Encodes a runner's response head for the caller.
 
     Args:
-        head: The runner's head.
-        length: The body's length in bytes; None where it comes in chunks.
-        closing: Whether the caller's connection ends with the answer.
+        head: The runner's response head.
+        length: The body's length in bytes; None for chunked encoding.
+        closing: Whether the caller's connection closes after the response.
     """
     lines = [b"HTTP/1.1 %d " % head.status]
     dropped = _list_dropped(head.headers)
@@ -146,48 +146,50 @@
 
 
 def _list_dropped(headers: Iterable[Header]) -> frozenset[bytes]:
-    dropped = _HOP | names.RESERVED | {names.AUTHORIZATION}
+    dropped = _HOP_BY_HOP | names.RESERVED | {names.AUTHORIZATION}
     for name, value in headers:
         if name == b"connection":
             listed = {part.strip().lower() for part in value.split(b",")}
-            dropped = dropped | (listed - _KEPT)
+            dropped = dropped | (listed - _PROTECTED)
     return dropped
 
 
-def _read_key(value: bytes | None) -> str | None:
+def _parse_key(value: bytes | None) -> str | None:
     if value is None or value[: len(_SCHEME)].lower() != _SCHEME:
         return None
     return value[len(_SCHEME) :].strip().decode("latin-1")
 
 
-def _read_seconds(value: bytes | None) -> float | None:
+def _parse_seconds(value: bytes | None) -> float | None:
     try:
         return None if value is None else max(0.0, float(value) / 1000.0)
     except ValueError:
         return None
 
 
-def _read_rates(headers: list[Header]) -> tuple[float | None, ...]:
+def _parse_rates(headers: list[Header]) -> tuple[float | None, ...]:
     return tuple(
-        _read_rate(value) for name, value in headers if name == names.RATE_LIMIT
+        _parse_rate(value)
+        for name, value in headers
+        if name == names.RATE_LIMIT
     )
 
 
-def _read_rate(value: bytes) -> float | None:
+def _parse_rate(value: bytes) -> float | None:
     try:
         return float(value)
     except ValueError:
         return None
 
 
-def _read_whole(value: bytes | None) -> int | None:
+def _parse_integer(value: bytes | None) -> int | None:
     try:
         return None if value is None else int(value)
     except ValueError:
         return None
 
 
-def _read_parts(value: bytes | None) -> tuple[fleet.Part, ...]:
+def _parse_parts(value: bytes | None) -> tuple[fleet.Part, ...]:
     if not value:
         return ()
     parts = []
@@ -199,15 +201,15 @@
     return tuple(parts)
 
 
-def _read_tokens(value: bytes | None) -> tuple[int, int]:
+def _parse_tokens(value: bytes | None) -> tuple[int, int]:
     first, _, second = (value or b"").partition(b",")
-    read, made = first.strip(), second.strip()
+    prompt, output = first.strip(), second.strip()
     return (
-        int(read) if read.isdigit() else 0,
-        int(made) if made.isdigit() else 0,
+        int(prompt) if prompt.isdigit() else 0,
+        int(output) if output.isdigit() else 0,
     )
 
 
 def is_ready_check(target: bytes) -> bool:
-    """Returns whether the balancer asks if this instance is ready."""
+    """Returns whether a target is that of the load balancer's check."""
     return target.partition(b"?")[0] == names.READY_PATH
--- a/pollenfork/platform/names.py
+++ b/pollenfork/platform/names.py
@@ -1,6 +1,6 @@
-"""The platform's header names and paths, in one place.
+"""The platform's header names, paths and other fixed names.
 
-Header names are lower-case bytes, as the parser's callbacks compare them.
+Header names are lower-case bytes, as the HTTP parser's callbacks need them.
 """
 
 ATTEMPT = b"x-pollenfork-attempt-id"
@@ -11,22 +11,22 @@
 EXPECTED_RUNNER = b"x-pollenfork-expect-instance"
 ACCOUNT = b"x-pollenfork-tenant"
 COPY_SOURCE = b"kv-fetch"
-URGENCY = b"x-pollenfork-request-priority"
+PRIORITY = b"x-pollenfork-request-priority"
 SEAL = b"x-pollenfork-response-seal"
 NOT_RUN = b"x-pollenfork-not-executed"
 LAST_EVENT = b"last-event-id"
 RETRY_AFTER = b"retry-after"
 RATE_LIMIT = b"server-limit"
-FEED_WAIT = b"wait-ms"
+FEED_WAIT_MS = b"wait-ms"
 AUTHORIZATION = b"authorization"
 
-# Set by the router alone; a caller's copy of them is dropped.
+# Set by the router only; they are dropped from callers' requests.
 RESERVED = frozenset(
     {
         DEADLINE,
         EXPECTED_RUNNER,
         ACCOUNT,
-        URGENCY,
+        PRIORITY,
         b"x-pollenfork-expect-version",
         b"x-pollenfork-hold",
         b"x-pollenfork-pin-ms",
@@ -36,19 +36,19 @@
     }
 )
 
-HOLDER = "X-Pollenfork-Duty-Holder"
-FENCING = "X-Pollenfork-Fencing-Token"
+DUTY_HOLDER = "X-Pollenfork-Duty-Holder"
+FENCING_TOKEN = "X-Pollenfork-Fencing-Token"
 
-REPORTS = "usage_report"
-SCALES = "autoscale"
+REPORTING_DUTY = "usage_report"
+SCALING_DUTY = "autoscale"
 
 READY_PATH = b"/api/ready"
 REPORT_PATH = "/api/report"
 CACHE_FEED_PATH = "/api/kv-events"
 CACHE_LIST_PATH = "/api/kv-list"
 FEED_PATH = "/api/rows-feed"
-RANGE_PATH = "/api/rows-get"
-CHANGE_PATH = "/api/rows-tx"
+TABLE_PATH = "/api/rows-get"
+TRANSACTION_PATH = "/api/rows-tx"
 USAGE_PATH = "/usage"
 SCALING_PATH = "/scaling"
 
--- a/pollenfork/platform/rows.py
+++ b/pollenfork/platform/rows.py
@@ -1,4 +1,4 @@
-"""The store's calls: their paths and bodies, and their answers decoded."""
+"""Encodes paths and bodies of store calls and decodes the responses."""
 
 import base64
 import urllib.parse
@@ -17,7 +17,7 @@
 
 
 class BadRows(failures.Failure, frozen=True, kw_only=True):
-    """The store's answer can't be decoded."""
+    """The store's response can't be decoded."""
 
 
 class _Row(msgspec.Struct, rename="kebab"):
@@ -27,73 +27,73 @@
     removed: bool = False
 
 
-class _Answer(msgspec.Struct, rename="kebab"):
+class _Reply(msgspec.Struct, rename="kebab"):
     row_version: int
     rows: list[_Row] = []
     has_more: bool = False
 
 
-class _Place(msgspec.Struct):
+class _RowKey(msgspec.Struct):
     table: str
     part: str
     key: str
 
 
-class _Written(_Place):
+class _Upsert(_RowKey):
     value: str
 
 
-class _Condition(_Place, rename="kebab"):
+class _Precondition(_RowKey, rename="kebab"):
     row_version: int
 
 
-class _Change(msgspec.Struct):
-    precondition: list[_Condition] = []
-    upserts: list[_Written] = []
-    remove: list[_Place] = []
+class _Transaction(msgspec.Struct):
+    precondition: list[_Precondition] = []
+    upserts: list[_Upsert] = []
+    remove: list[_RowKey] = []
 
 
-_DECODER = msgspec.json.Decoder(_Answer)
+_DECODER = msgspec.json.Decoder(_Reply)
 
 
-def write_ask(table: str, ask: messages.ReadCall) -> str:
-    """Returns the path, with its query, of a reading call."""
-    if ask.after is None:
-        return write_range(table, ask.start)
+def format_read_path(table: str, call: messages.ReadCall) -> str:
+    """Returns the path and query of a read call."""
+    if call.after is None:
+        return format_range_path(table, call.start)
     query = {
         "table": table,
-        "after-revision": ask.after,
-        "wait-ms": int(ask.wait_s * 1000),
+        "after-revision": call.after,
+        "wait-ms": int(call.wait_s * 1000),
     }
     return f"{names.FEED_PATH}?{urllib.parse.urlencode(query)}"
 
 
-def write_range(table: str, start: str) -> str:
-    """Returns the path, with its query, that reads a table from a key on."""
+def format_range_path(table: str, start: str) -> str:
+    """Returns the path and query that read a table, starting at a key."""
     query = {"table": table, "part": ""}
     if start:
         query["from"] = start
-    return f"{names.RANGE_PATH}?{urllib.parse.urlencode(query)}"
+    return f"{names.TABLE_PATH}?{urllib.parse.urlencode(query)}"
 
 
 def encode_change(change: changes.Change) -> bytes:
-    """Returns the body that writes and removes rows, all or none of them."""
-    made = _Change()
+    """Returns the body of the transaction that writes and removes rows."""
+    body = _Transaction()
     for put in change.written:
-        place = put.table.value, "", put.key
+        row_key = put.table.value, "", put.key
         text = base64.b64encode(put.value).decode()
-        made.upserts.append(_Written(*place, text))
+        body.upserts.append(_Upsert(*row_key, text))
         if put.expected is not None:
-            made.precondition.append(_Condition(*place, put.expected))
-    for gone in change.removed:
-        made.remove.append(_Place(gone.table.value, "", gone.key))
-    return msgspec.json.encode(made)
+            body.precondition.append(_Precondition(*row_key, put.expected))
+    for removal in change.removed:
+        body.remove.append(_RowKey(removal.table.value, "", removal.key))
+    return msgspec.json.encode(body)
 
 
-def read(body: bytes) -> result.Result[messages.Rows, BadRows]:
-    """Decodes the body of either call."""
+def decode(body: bytes) -> result.Result[messages.Rows, BadRows]:
+    """Decodes the body of a response to a read or a transaction."""
     try:
-        answer = _DECODER.decode(body)
+        reply = _DECODER.decode(body)
         rows = tuple(
             messages.Row(
                 key=row.key,
@@ -101,18 +101,18 @@
                 version=row.row_version,
                 removed=row.removed,
             )
-            for row in answer.rows
+            for row in reply.rows
         )
     except msgspec.MsgspecError as error:
         return result.Err(BadRows(detail=str(error)))
-    return result.Ok(messages.Rows(rows, answer.row_version, answer.has_more))
+    return result.Ok(messages.Rows(rows, reply.row_version, reply.has_more))
 
 
 def _decode_value(text: str) -> bytes:
-    """Returns a row's bytes; none where the text holds no bytes.
+    """Returns a row's bytes; empty bytes if the text isn't valid base64.
 
-    What one writer left must not hide the rows of all others, and no document
-    is empty.
+    A bad value of one writer must not hide the other rows, and no valid
+    document is empty.
     """
     try:
         return base64.b64decode(text, validate=True)
--- a/pollenfork/platform/store.py
+++ b/pollenfork/platform/store.py
@@ -1,4 +1,4 @@
-"""The store's calls as whole requests, and its answers decoded."""
+"""Encodes calls to the store as HTTP requests and decodes the responses."""
 
 import msgspec
 import result
@@ -20,31 +20,31 @@
 
 
 class Store(msgspec.Struct, frozen=True):
-    """The calls of the store at one address.
+    """Encodes and decodes calls to the store at one address.
 
     Attributes:
-        host: The store's `host:port`.
+        host: The store's host and port, for the `Host` header.
     """
 
     host: str
 
-    def encode_configuration_request(self, ask: messages.ReadCall) -> bytes:
-        """Returns the request that follows the configuration."""
-        return self._write(rows.write_ask(rows.CONFIGURATION, ask))
+    def encode_configuration_request(self, call: messages.ReadCall) -> bytes:
+        """Returns the request that watches the configuration."""
+        return self._encode_get(rows.format_read_path(rows.CONFIGURATION, call))
 
-    def encode_runners_request(self, ask: messages.ReadCall) -> bytes:
-        """Returns the request that follows the registry."""
-        return self._write(rows.write_ask(rows.RUNNERS, ask))
+    def encode_runners_request(self, call: messages.ReadCall) -> bytes:
+        """Returns the request that watches the registry of runners."""
+        return self._encode_get(rows.format_read_path(rows.RUNNERS, call))
 
     def encode_range_request(self, table: changes.Table, start: str) -> bytes:
-        """Returns the request for the rows of a table, from a key on."""
-        return self._write(rows.write_range(table.value, start))
+        """Returns the request for a table's rows, starting at a key."""
+        return self._encode_get(rows.format_range_path(table.value, start))
 
     def encode_change(self, change: changes.Change) -> bytes:
         """Returns the request that writes and removes rows."""
         body = rows.encode_change(change)
         head = (
-            f"POST {names.CHANGE_PATH} HTTP/1.1\r\nhost: {self.host}\r\n"
+            f"POST {names.TRANSACTION_PATH} HTTP/1.1\r\nhost: {self.host}\r\n"
             "content-type: application/json\r\n"
             f"content-length: {len(body)}\r\n\r\n"
         )
@@ -53,32 +53,32 @@
     def decode_change_result(
         self, status: int, body: bytes
     ) -> result.Result[int, changes.WriteFailure]:
-        """Decodes the answer to that: the version of the rows written."""
+        """Decodes the response to a change: the version of the rows written."""
         if status == _CONFLICT:
             return result.Err(changes.WriteFailure.CONFLICT)
         if status != _OK:
             return result.Err(changes.WriteFailure.REFUSED)
-        read = rows.read(body).map_err(
-            lambda bad: changes.WriteFailure.NO_ANSWER
+        decoded = rows.decode(body).map_err(
+            lambda error: changes.WriteFailure.NO_ANSWER
         )
-        return read.map(lambda answer: answer.version)
+        return decoded.map(lambda response: response.version)
 
     def decode_rows(
         self, status: int, body: bytes
     ) -> result.Result[messages.Rows, messages.ReadFailure]:
-        """Decodes the answer to any that reads."""
+        """Decodes the response to any read."""
         if status == _HISTORY_GONE:
             return result.Err(messages.ReadFailure.HISTORY_GONE)
         if status != _OK:
             return result.Err(messages.ReadFailure.REFUSED)
-        return rows.read(body).map_err(
-            lambda bad: messages.ReadFailure.UNREADABLE
+        return rows.decode(body).map_err(
+            lambda error: messages.ReadFailure.UNREADABLE
         )
 
     def decode_configuration(
         self, row: messages.Row
     ) -> result.Result[routes.Configuration, failures.Failure] | None:
-        """Decodes a row; None where it isn't the configuration."""
+        """Decodes a row; returns None if it isn't the configuration."""
         if row.key != rows.CONFIGURATION_KEY or row.removed:
             return None
         return documents.decode_configuration(row.value)
@@ -87,7 +87,7 @@
         self, row: messages.Row
     ) -> result.Result[fleet.Runner, errors.BadEntry]:
         """Decodes a row of the registry."""
-        return entries.read(row.key, row.value)
+        return entries.decode(row.key, row.value)
 
-    def _write(self, target: str) -> bytes:
+    def _encode_get(self, target: str) -> bytes:
         return f"GET {target} HTTP/1.1\r\nhost: {self.host}\r\n\r\n".encode()
--- a/pollenfork/platform/tests/test_boot.py
+++ b/pollenfork/platform/tests/test_boot.py
@@ -20,7 +20,7 @@
 def read(tmp_path, text: str):
     path = tmp_path / "boot.toml"
     path.write_text(BOOT + text)
-    return boot.read(path)
+    return boot.load(path)
 
 
 def test_without_duties_there_are_none(tmp_path) -> None:
--- a/pollenfork/platform/tests/test_documents.py
+++ b/pollenfork/platform/tests/test_documents.py
@@ -114,12 +114,12 @@
             "now-ms": 5,
         }
     ).encode()
-    found = rows.read(body).unwrap()
+    found = rows.decode(body).unwrap()
     assert (found.version, found.more) == (530, True)
     assert found.rows[0] == messages.Row("config", b"x", 412)
     assert found.rows[1].removed
     for bad in (b"", b"[]", b'{"row-version":1,"rows":[{"key":1}]}'):
-        assert isinstance(rows.read(bad), result.Err)
+        assert isinstance(rows.decode(bad), result.Err)
 
 
 def test_asks_are_written_as_whole_requests() -> None:
@@ -169,18 +169,18 @@
 def test_a_settings_file_is_decoded(tmp_path) -> None:
     path = tmp_path / "boot.toml"
     path.write_text(BOOT)
-    told = boot.read(path).unwrap()
+    told = boot.load(path).unwrap()
     assert told.instance == "front-amman-a-1"
     assert told.front == ("10.1.0.40", 8227)
     assert told.peer == ("10.1.0.40", 7340)
     assert told.seeds == (("10.1.0.40", 7340), ("10.2.0.29", 7340))
     assert told.revocation_s == 5.0
     path.write_text(BOOT.replace("revocation = true", "revocation = false"))
-    assert boot.read(path).unwrap().revocation_s is None
+    assert boot.load(path).unwrap().revocation_s is None
 
 
 def test_settings_that_cannot_be_read_are_an_error(tmp_path) -> None:
     path = tmp_path / "boot.toml"
-    assert isinstance(boot.read(path), result.Err)
+    assert isinstance(boot.load(path), result.Err)
     path.write_text("ip = 3")
-    assert isinstance(boot.read(path), result.Err)
+    assert isinstance(boot.load(path), result.Err)
--- a/pollenfork/platform/tests/test_entries.py
+++ b/pollenfork/platform/tests/test_entries.py
@@ -168,7 +168,7 @@
         {"key": "d", "value": good, "row-version": 6},
     ]
     body = json.dumps({"row-version": 7, "rows": told}).encode()
-    decoded = rows.read(body).unwrap().rows
+    decoded = rows.decode(body).unwrap().rows
     named = [
         row.key
         for row in decoded
