--- a/pollenfork/gateway/duty_rows.py
+++ b/pollenfork/gateway/duty_rows.py
@@ -39,7 +39,7 @@
         found: tuple[catalogue.Row, ...] = ()
         start = ""
         while True:
-            ask = self._store.encode_range_request(changes.Table.DUTIES, start)
+            ask = self._store.encode_range_read(changes.Table.DUTIES, start)
             answer = await self._client.call(ask, _CALL_TIMEOUT_S)
             if answer is None:
                 return result.Err(catalogue.ReadFailure.NO_ANSWER)
--- a/pollenfork/gateway/edges.py
+++ b/pollenfork/gateway/edges.py
@@ -70,13 +70,13 @@
 class Store(Protocol):
     """Decodes and encodes calls to the store."""
 
-    def encode_configuration_request(self, call: catalogue.ReadCall) -> bytes:
+    def encode_configuration_read(self, ask: catalogue.ReadCall) -> bytes:
         """Returns the request that watches the configuration."""
 
-    def encode_runners_request(self, call: catalogue.ReadCall) -> bytes:
+    def encode_runners_read(self, ask: catalogue.ReadCall) -> bytes:
         """Returns the request that watches the registry of runners."""
 
-    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_read(self, table: changes.Table, start: str) -> bytes:
         """Returns the request for the rows of a table, starting at a key."""
 
     def encode_change(self, change: changes.Change) -> bytes:
@@ -106,8 +106,8 @@
 class Cloud(Protocol):
     """Encodes calls to the platform, which one instance at a time makes."""
 
-    def encode_call(self, call: duties.PlatformCall) -> bytes:
+    def encode(self, task: duties.PlatformCall) -> bytes:
         """Returns the request that reports usage or orders runners."""
 
-    def decode_reply(self, status: int) -> duties.Reply:
+    def decode(self, status: int) -> duties.Reply:
         """Decodes the status of a response."""
--- a/pollenfork/gateway/platform_calls.py
+++ b/pollenfork/gateway/platform_calls.py
@@ -94,13 +94,13 @@
         self._reported_s.clear()
 
     async def _call(self, task: messages.PlatformCall, take: TakeReply) -> None:
-        request = self._cloud.encode_call(task)
+        request = self._cloud.encode(task)
         answer = await self._clients[type(task.work)].call(
             request, ORDER_S, task.deadline
         )
         reply = messages.Reply.NO_ANSWER
         if answer is not None:
-            reply = self._cloud.decode_reply(answer[0])
+            reply = self._cloud.decode(answer[0])
         if isinstance(task.work, rows.ScalingOrder):
             self._record_order(task.work, task, reply)
         else:
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -125,7 +125,7 @@
         start = ""
         found: list[crashes.CrashHistory] = []
         while True:
-            ask = self._store.encode_range_request(_TABLE, start)
+            ask = self._store.encode_range_read(_TABLE, start)
             answer = await self._client.call(ask, _CALL_TIMEOUT_S)
             if answer is None:
                 return False
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -74,12 +74,12 @@
         self._configuration = self._make_follower(
             tables.Table.CONFIGURATION,
             (_CONFIGURATION_WAIT_S, _CONFIGURATION_REST_S),
-            store.encode_configuration_request,
+            store.encode_configuration_read,
         )
         self._runners = self._make_follower(
             tables.Table.RUNNERS,
             (_RUNNERS_WAIT_S, _RUNNERS_REST_S),
-            store.encode_runners_request,
+            store.encode_runners_read,
         )
         self._connect()
 
--- a/pollenfork/gateway/tests/test_duty_agent.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -51,7 +51,7 @@
     def __init__(self, site: "Site") -> None:
         self._site = site
 
-    def encode_range_request(self, table, start):
+    def encode_range_read(self, table, start):
         return ("read", start)
 
     def encode_change(self, change):
@@ -71,10 +71,10 @@
 class Cloud:
     """Passes the platform's calls through without encoding."""
 
-    def encode_call(self, task):
+    def encode(self, task):
         return task
 
-    def decode_reply(self, status):
+    def decode(self, status):
         return messages.Reply.DONE
 
 
--- a/pollenfork/gateway/tests/test_quarantine_store.py
+++ b/pollenfork/gateway/tests/test_quarantine_store.py
@@ -23,7 +23,7 @@
         self.removed: list[str] = []
         self.claimed: list[str] = []
 
-    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_read(self, table: changes.Table, start: str) -> bytes:
         assert table is changes.Table.KEPT_REQUESTS
         return start.encode()
 
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -68,8 +68,8 @@
     """Decodes the one row as a configuration and as a runner."""
 
     def __init__(self, standin: Store) -> None:
-        self.encode_configuration_request = standin.write
-        self.encode_runners_request = standin.write
+        self.encode_configuration_read = standin.write
+        self.encode_runners_read = standin.write
         self.decode_rows = standin.read
 
     def decode_configuration(self, row):
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -20,8 +20,8 @@
     """Encodes calls for a stand-in of the store, and decodes rows."""
 
     def __init__(self, standin: test_following.Store) -> None:
-        self.encode_configuration_request = standin.write
-        self.encode_runners_request = standin.write
+        self.encode_configuration_read = standin.write
+        self.encode_runners_read = standin.write
         self.decode_rows = standin.read
 
 
--- a/pollenfork/platform/cloud.py
+++ b/pollenfork/platform/cloud.py
@@ -37,7 +37,7 @@
     host: str
     instance: ids.InstanceId
 
-    def encode_call(self, call: messages.PlatformCall) -> bytes:
+    def encode(self, call: messages.PlatformCall) -> bytes:
         """Returns the request that reports usage or orders runners."""
         work = call.work
         if isinstance(work, rows.ScalingOrder):
@@ -60,7 +60,7 @@
         )
         return head.encode() + body
 
-    def decode_reply(self, status: int) -> messages.Reply:
+    def decode(self, status: int) -> messages.Reply:
         """Decodes the status of a response."""
         if status >= 500:
             return messages.Reply.BUSY
--- a/pollenfork/platform/store.py
+++ b/pollenfork/platform/store.py
@@ -28,15 +28,15 @@
 
     host: str
 
-    def encode_configuration_request(self, call: messages.ReadCall) -> bytes:
+    def encode_configuration_read(self, call: messages.ReadCall) -> bytes:
         """Returns the request that watches the configuration."""
         return self._encode_get(rows.format_read_path(rows.CONFIGURATION, call))
 
-    def encode_runners_request(self, call: messages.ReadCall) -> bytes:
+    def encode_runners_read(self, call: messages.ReadCall) -> bytes:
         """Returns the request that watches the registry of runners."""
         return self._encode_get(rows.format_read_path(rows.RUNNERS, call))
 
-    def encode_range_request(self, table: changes.Table, start: str) -> bytes:
+    def encode_range_read(self, table: changes.Table, start: str) -> bytes:
         """Returns the request for a table's rows, starting at a key."""
         return self._encode_get(rows.format_range_path(table.value, start))
 
--- a/pollenfork/platform/tests/test_cloud.py
+++ b/pollenfork/platform/tests/test_cloud.py
@@ -13,7 +13,7 @@
 
 
 def split(work) -> tuple[str, dict[str, str], dict]:
-    request = CLOUD.encode_call(
+    request = CLOUD.encode(
         messages.PlatformCall(ids.FencingNumber(12), 9.0, work)
     )
     head, _, body = request.partition(b"\r\n\r\n")
@@ -56,4 +56,4 @@
     ],
 )
 def test_each_status_has_a_meaning(status, reply) -> None:
-    assert CLOUD.decode_reply(status) is reply
+    assert CLOUD.decode(status) is reply
--- a/pollenfork/platform/tests/test_documents.py
+++ b/pollenfork/platform/tests/test_documents.py
@@ -125,12 +125,12 @@
 def test_asks_are_written_as_whole_requests() -> None:
     platform = store.Store("10.0.0.1:80")
     ask = messages.ReadCall(after=530, wait_s=1.5, timeout_s=2.0)
-    assert platform.encode_configuration_request(ask) == (
+    assert platform.encode_configuration_read(ask) == (
         b"GET /api/rows-feed?table=op&after-revision=530&wait-ms=1500 HTTP/1.1"
         b"\r\nhost: 10.0.0.1:80\r\n\r\n"
     )
     ask = messages.ReadCall(after=None, start="a\0", timeout_s=2.0)
-    assert b"table=servers&part=&from=a%00 " in platform.encode_runners_request(
+    assert b"table=servers&part=&from=a%00 " in platform.encode_runners_read(
         ask
     )
 
