--- a/pollenfork/platform/tests/support.py
+++ b/pollenfork/platform/tests/support.py
@@ -1,13 +1,13 @@
-"""What the stand-ins of runners write to the platform's store."""
+"""Builds the entries that simulated runners write to the store."""
 
 
-def make_entry(service: str, address: str, **given: object) -> dict:
+def make_entry(service: str, address: str, **overrides: object) -> dict:
     """Returns a runner's entry with every field that runners write.
 
     Args:
-        service: The service it offers.
-        address: Its host and port.
-        given: Fields that differ, by their names with underscores.
+        service: The service that the runner offers.
+        address: The runner's host and port.
+        overrides: Fields to change, with underscores in their names.
     """
     entry = {
         "service": service,
@@ -19,5 +19,7 @@
         "cold-remaining-ms": 0,
         "sequence": 1,
     }
-    changes = {name.replace("_", "-"): value for name, value in given.items()}
+    changes = {
+        name.replace("_", "-"): value for name, value in overrides.items()
+    }
     return {**entry, **changes}
--- a/pollenfork/platform/tests/test_boot.py
+++ b/pollenfork/platform/tests/test_boot.py
@@ -1,4 +1,4 @@
-"""Settings of the duties are checked, and none is needed."""
+"""The settings of duties are optional and validated."""
 
 import pytest
 import result
@@ -23,16 +23,16 @@
     return boot.load(path)
 
 
-def test_without_duties_there_are_none(tmp_path) -> None:
+def test_duties_are_none_if_not_configured(tmp_path) -> None:
     assert read(tmp_path, "").ok_value.duties is None
 
 
-def test_unknown_duties_are_left_out(tmp_path) -> None:
+def test_unknown_duties_are_ignored(tmp_path) -> None:
     text = '[cloud]\naddress = "10.2.0.2:90"\nduties = ["paint"]\n'
     assert read(tmp_path, text).ok_value.duties is None
 
 
-def test_duties_come_with_their_bounds(tmp_path) -> None:
+def test_duties_are_read_with_their_bounds(tmp_path) -> None:
     text = (
         '[cloud]\naddress = "10.2.0.2:90"\nduties = ["usage_report", "x"]\n'
         "[bounds]\nusage-window-s = 7\nlease-ms = 2000\n"
@@ -56,5 +56,5 @@
         "[bounds]\nlease-ms = -1\n",
     ],
 )
-def test_duties_that_cant_be_done_end_the_start(tmp_path, text) -> None:
+def test_invalid_duty_settings_are_an_error(tmp_path, text) -> None:
     assert isinstance(read(tmp_path, text), result.Err)
--- a/pollenfork/platform/tests/test_caches.py
+++ b/pollenfork/platform/tests/test_caches.py
@@ -16,10 +16,10 @@
     leaving=False,
     cold_s=0.0,
 )
-KEPT = messages.CacheChange(b"e129f473a0f0", True)
+CACHED = messages.CacheChange(b"e129f473a0f0", True)
 
 
-def test_the_calls_go_to_the_runner_and_say_how_long_they_wait() -> None:
+def test_requests_name_the_runner_and_the_wait_time() -> None:
     assert caches.encode_feed_request(RUNNER, 44, 1.0) == (
         b"GET /api/kv-events?since=44 HTTP/1.1\r\n"
         b"host: 10.0.0.1:8407\r\nwait-ms: 1000\r\n\r\n"
@@ -34,32 +34,34 @@
         b'{"epoch":7,"next":12,"lost":true,"events":'
         b'[[11,"+","","e129f473a0f0",242,"m"],[12,"-","","e129f473a0f0",0,"m"]]}'
     )
-    lost = messages.CacheChange(b"e129f473a0f0", False)
+    removed = messages.CacheChange(b"e129f473a0f0", False)
     assert caches.decode_feed(200, body).ok_value == messages.CacheReport(
-        (KEPT, lost), 12, gap=True, epoch="7"
+        (CACHED, removed), 12, gap=True, epoch="7"
     )
 
 
-def test_a_list_is_whole() -> None:
+def test_a_list_is_decoded_as_complete() -> None:
     body = b'{"epoch":7,"next":44,"held":[["","e129f473a0f0",242,"m"]]}'
     assert caches.decode_list(200, body).ok_value == messages.CacheReport(
-        (KEPT,), 44, complete=True, epoch="7"
+        (CACHED,), 44, complete=True, epoch="7"
     )
 
 
-@pytest.mark.parametrize("read", [caches.decode_feed, caches.decode_list])
-def test_a_runner_may_say_when_it_started(read) -> None:
-    told = read(200, b'{"epoch":"x","next":1,"born":1764712843123}').unwrap()
-    assert (told.epoch, told.start) == ("x", 1764712843123)
-    assert read(200, b'{"epoch":"x","next":1}').unwrap().start is None
+@pytest.mark.parametrize("decode", [caches.decode_feed, caches.decode_list])
+def test_the_start_time_of_a_runner_is_optional(decode) -> None:
+    report = decode(
+        200, b'{"epoch":"x","next":1,"born":1764712843123}'
+    ).unwrap()
+    assert (report.epoch, report.start) == ("x", 1764712843123)
+    assert decode(200, b'{"epoch":"x","next":1}').unwrap().start is None
     for born in (b"1.5", b'"7"', b"null"):
         answer = b'{"epoch":"x","next":1,"born":%b}' % born
-        assert isinstance(read(200, answer), result.Err)
+        assert isinstance(decode(200, answer), result.Err)
 
 
-@pytest.mark.parametrize("read", [caches.decode_feed, caches.decode_list])
+@pytest.mark.parametrize("decode", [caches.decode_feed, caches.decode_list])
 @pytest.mark.parametrize(
     ("status", "body"), [(429, b""), (200, b"{"), (200, b'{"next":"x"}')]
 )
-def test_any_other_answer_is_a_failure(read, status, body) -> None:
-    assert isinstance(read(status, body), result.Err)
+def test_invalid_responses_are_errors(decode, status, body) -> None:
+    assert isinstance(decode(status, body), result.Err)
--- a/pollenfork/platform/tests/test_documents.py
+++ b/pollenfork/platform/tests/test_documents.py
@@ -56,39 +56,39 @@
 }
 
 
-def read(config: dict):
+def decode(config: dict):
     return documents.decode_configuration(json.dumps(config).encode())
 
 
-def test_a_configuration_is_decoded_whole() -> None:
-    found = read(CONFIG).unwrap()
-    first, second = found.routes
-    assert found.version == 7
+def test_all_fields_of_a_configuration_are_decoded() -> None:
+    decoded = decode(CONFIG).unwrap()
+    first, second = decoded.routes
+    assert decoded.version == 7
     assert (first.host, first.time_limit_s) == ("ficu95.example", 10.0)
     assert (first.target_s, first.gap_s) == (1.5, 0.8)
     assert [t.weight for t in first.targets] == [90, 10]
     assert first.kind is routes.Kind.STREAM and first.idempotent
     assert second.kind is routes.Kind.AT_MOST_ONCE
     assert [t.service for t in second.targets] == ["huvo"]
-    assert found.services["huvo"].cache_tokens == 640439
-    assert found.services["huvo"].copy_s == pytest.approx(0.4e-6)
-    assert found.services["wuno"].copy_s is None
-    assert found.limits.header_bytes == 100 and found.limits.idle_s == 1.5
-    assert set(found.accounts) == {"k1", "k2"}
-    assert found.accounts["k1"].tier == 1
+    assert decoded.services["huvo"].cache_tokens == 640439
+    assert decoded.services["huvo"].copy_s == pytest.approx(0.4e-6)
+    assert decoded.services["wuno"].copy_s is None
+    assert decoded.limits.header_bytes == 100 and decoded.limits.idle_s == 1.5
+    assert set(decoded.accounts) == {"k1", "k2"}
+    assert decoded.accounts["k1"].tier == 1
 
 
-def test_no_accounts_is_not_an_empty_list_of_them() -> None:
+def test_missing_accounts_differ_from_an_empty_list() -> None:
     without = {k: v for k, v in CONFIG.items() if k != "tenants"}
-    assert read(without).unwrap().accounts is None
-    assert read({**CONFIG, "tenants": []}).unwrap().accounts == {}
+    assert decode(without).unwrap().accounts is None
+    assert decode({**CONFIG, "tenants": []}).unwrap().accounts == {}
 
 
-def test_what_cannot_be_decoded_is_an_error() -> None:
+def test_invalid_configurations_are_errors() -> None:
     for bad in (b"", b"{}", b'{"version":"x"}'):
         assert isinstance(documents.decode_configuration(bad), result.Err)
-    strange = {**CONFIG, "routes": [{**ROUTE, "kind": "sometimes"}]}
-    assert isinstance(read(strange), result.Err)
+    unknown_kind = {**CONFIG, "routes": [{**ROUTE, "kind": "sometimes"}]}
+    assert isinstance(decode(unknown_kind), result.Err)
 
 
 def test_rows_are_decoded() -> None:
@@ -114,28 +114,28 @@
             "now-ms": 5,
         }
     ).encode()
-    found = rows.decode(body).unwrap()
-    assert (found.version, found.more) == (530, True)
-    assert found.rows[0] == messages.Row("config", b"x", 412)
-    assert found.rows[1].removed
+    decoded = rows.decode(body).unwrap()
+    assert (decoded.version, decoded.more) == (530, True)
+    assert decoded.rows[0] == messages.Row("config", b"x", 412)
+    assert decoded.rows[1].removed
     for bad in (b"", b"[]", b'{"row-version":1,"rows":[{"key":1}]}'):
         assert isinstance(rows.decode(bad), result.Err)
 
 
-def test_asks_are_written_as_whole_requests() -> None:
+def test_read_calls_are_encoded_as_complete_requests() -> None:
     platform = store.Store("10.0.0.1:80")
-    ask = messages.ReadCall(after=530, wait_s=1.5, timeout_s=2.0)
-    assert platform.encode_configuration_read(ask) == (
+    call = messages.ReadCall(after=530, wait_s=1.5, timeout_s=2.0)
+    assert platform.encode_configuration_read(call) == (
         b"GET /api/rows-feed?table=op&after-revision=530&wait-ms=1500 HTTP/1.1"
         b"\r\nhost: 10.0.0.1:80\r\n\r\n"
     )
-    ask = messages.ReadCall(after=None, start="a\0", timeout_s=2.0)
+    call = messages.ReadCall(after=None, start="a\0", timeout_s=2.0)
     assert b"table=servers&part=&from=a%00 " in platform.encode_runners_read(
-        ask
+        call
     )
 
 
-def test_statuses_tell_forgotten_history_from_refusal() -> None:
+def test_missing_history_and_refusals_are_distinguished() -> None:
     platform = store.Store("h")
     gone = platform.decode_rows(410, b"").unwrap_err()
     assert gone is messages.ReadFailure.HISTORY_GONE
@@ -169,17 +169,17 @@
 def test_a_settings_file_is_decoded(tmp_path) -> None:
     path = tmp_path / "boot.toml"
     path.write_text(BOOT)
-    told = boot.load(path).unwrap()
-    assert told.instance == "front-amman-a-1"
-    assert told.front == ("10.1.0.40", 8227)
-    assert told.peer == ("10.1.0.40", 7340)
-    assert told.seeds == (("10.1.0.40", 7340), ("10.2.0.29", 7340))
-    assert told.revocation_s == 5.0
+    config = boot.load(path).unwrap()
+    assert config.instance == "front-amman-a-1"
+    assert config.front == ("10.1.0.40", 8227)
+    assert config.peer == ("10.1.0.40", 7340)
+    assert config.seeds == (("10.1.0.40", 7340), ("10.2.0.29", 7340))
+    assert config.revocation_s == 5.0
     path.write_text(BOOT.replace("revocation = true", "revocation = false"))
     assert boot.load(path).unwrap().revocation_s is None
 
 
-def test_settings_that_cannot_be_read_are_an_error(tmp_path) -> None:
+def test_invalid_settings_files_are_errors(tmp_path) -> None:
     path = tmp_path / "boot.toml"
     assert isinstance(boot.load(path), result.Err)
     path.write_text("ip = 3")
--- a/pollenfork/platform/tests/test_entries.py
+++ b/pollenfork/platform/tests/test_entries.py
@@ -28,39 +28,43 @@
 ENGINE = {**ENTRY, "stage": "combined", "models": [{"name": "m"}]}
 
 
-def read(value: bytes, key: str = "i-7"):
+def decode(value: bytes, key: str = "i-7"):
     return PLATFORM.decode_runner(messages.Row(key, value, 1))
 
 
 def find_fault(entry: object, key: str = "i-7") -> Fault | None:
-    found = read(json.dumps(entry).encode(), key)
-    return found.err_value.fault if isinstance(found, result.Err) else None
+    decoded = decode(json.dumps(entry).encode(), key)
+    return decoded.err_value.fault if isinstance(decoded, result.Err) else None
 
 
 @pytest.mark.parametrize("entry", [ENTRY, ENGINE, {**ENTRY, "later": 1}])
 @pytest.mark.parametrize("born", [{}, {"born": 0}, {"born": 1764712843123}])
-def test_what_runners_write_names_a_runner(entry: dict, born: dict) -> None:
+def test_entries_that_runners_write_are_accepted(
+    entry: dict, born: dict
+) -> None:
     assert find_fault({**entry, **born}) is None
 
 
 def test_a_runners_entry_is_decoded() -> None:
-    runner = read(json.dumps(ENTRY).encode()).unwrap()
+    runner = decode(json.dumps(ENTRY).encode()).unwrap()
     assert (runner.id, runner.host, runner.port) == ("i-7", "10.128.0.9", 8080)
     assert not runner.leaving and runner.cold_s == 1.5
     leaving = {**ENTRY, "state": "draining"}
-    assert read(json.dumps(leaving).encode()).unwrap().leaving
+    assert decode(json.dumps(leaving).encode()).unwrap().leaving
 
 
 @pytest.mark.parametrize("field", list(ENTRY))
-def test_an_entry_without_a_field_names_none(field: str) -> None:
-    left = {name: value for name, value in ENTRY.items() if name != field}
-    assert find_fault(left) is Fault.MISSING_FIELD
+def test_an_entry_with_a_missing_field_is_rejected(field: str) -> None:
+    rest = {name: value for name, value in ENTRY.items() if name != field}
+    assert find_fault(rest) is Fault.MISSING_FIELD
 
 
 @pytest.mark.parametrize("field", [*ENGINE, "born"])
 @pytest.mark.parametrize("value", [None, True, {}, [3], "7", 2.5])
-def test_a_field_of_another_type_names_none(field: str, value: object) -> None:
-    fits = {
+def test_a_field_of_the_wrong_type_is_rejected(
+    field: str, value: object
+) -> None:
+    types = {
         "service": str,
         "address": str,
         "zone": str,
@@ -70,7 +74,7 @@
         "models": list,
         "cold-remaining-ms": float,
     }
-    if type(value) is not fits.get(field, int):
+    if type(value) is not types.get(field, int):
         assert find_fault({**ENGINE, field: value}) is Fault.OTHER_TYPE
 
 
@@ -103,22 +107,22 @@
         ("address", "10.128.0.9\r\nx: y:8080", Fault.NO_ADDRESS),
     ],
 )
-def test_a_value_that_no_runner_has_names_none(field, value, fault) -> None:
+def test_an_invalid_value_is_rejected(field, value, fault) -> None:
     assert find_fault({**ENTRY, field: value}) is fault
 
 
 @pytest.mark.parametrize(
     "key", ["", "a b", "i-7\r\nx: y", "i-\u00e9", "i" * 201]
 )
-def test_an_id_that_no_head_may_hold_names_none(key: str) -> None:
+def test_an_id_that_is_no_valid_header_value_is_rejected(key: str) -> None:
     assert find_fault(ENTRY, key) is Fault.OUT_OF_RANGE
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\x00", b"{", b"[]", b"7", b'"x"', b"[" * 100_000]
 )
-def test_bytes_that_are_no_entry_name_none(value: bytes) -> None:
-    assert read(value).err_value.fault is Fault.NOT_DECODABLE
+def test_bytes_that_are_no_json_object_are_rejected(value: bytes) -> None:
+    assert decode(value).err_value.fault is Fault.NOT_DECODABLE
 
 
 _VALUES = strategies.recursive(
@@ -141,38 +145,38 @@
         strategies.sampled_from([*ENGINE, "born"]), _VALUES
     ),
 )
-def test_whatever_an_entry_holds_it_names_a_usable_runner_or_none(
+def test_any_entry_is_rejected_or_gives_a_usable_runner(
     key: str, changes: dict
 ) -> None:
-    found = read(json.dumps({**ENGINE, **changes}).encode(), key)
-    if isinstance(found, result.Err):
-        assert isinstance(found.err_value, errors.BadEntry)
+    decoded = decode(json.dumps({**ENGINE, **changes}).encode(), key)
+    if isinstance(decoded, result.Err):
+        assert isinstance(decoded.err_value, errors.BadEntry)
         return
-    runner = found.ok_value
+    runner = decoded.ok_value
     assert isinstance(runner, fleet.Runner)
     assert 0 < runner.port < 65536 and runner.slots > 0
     assert "\n" not in runner.id + runner.host
 
 
 @given(strategies.binary(max_size=200), strategies.text(max_size=20))
-def test_no_bytes_raise(value: bytes, key: str) -> None:
-    assert isinstance(read(value, key), result.Err)
+def test_arbitrary_bytes_raise_no_exception(value: bytes, key: str) -> None:
+    assert isinstance(decode(value, key), result.Err)
 
 
-def test_one_value_that_is_no_base64_leaves_the_other_rows_readable() -> None:
-    good = base64.b64encode(json.dumps(ENTRY).encode()).decode()
-    told = [
-        {"key": "a", "value": good, "row-version": 3},
-        {"key": "b", "value": good[:-3], "row-version": 4},
-        {"key": "c", "value": "\u00e9" + good, "row-version": 5},
-        {"key": "d", "value": good, "row-version": 6},
+def test_invalid_base64_in_one_row_leaves_the_others_readable() -> None:
+    valid = base64.b64encode(json.dumps(ENTRY).encode()).decode()
+    encoded = [
+        {"key": "a", "value": valid, "row-version": 3},
+        {"key": "b", "value": valid[:-3], "row-version": 4},
+        {"key": "c", "value": "\u00e9" + valid, "row-version": 5},
+        {"key": "d", "value": valid, "row-version": 6},
     ]
-    body = json.dumps({"row-version": 7, "rows": told}).encode()
+    body = json.dumps({"row-version": 7, "rows": encoded}).encode()
     decoded = rows.decode(body).unwrap().rows
-    named = [
+    accepted = [
         row.key
         for row in decoded
         if isinstance(PLATFORM.decode_runner(row), result.Ok)
     ]
-    assert named == ["a", "d"]
+    assert accepted == ["a", "d"]
     assert [row.version for row in decoded] == [3, 4, 5, 6]
--- a/pollenfork/platform/tests/test_heads.py
+++ b/pollenfork/platform/tests/test_heads.py
@@ -5,7 +5,7 @@
 from pollenfork.gateway import messages
 from pollenfork.platform import heads
 
-CALL = [
+HEADERS = [
     (b"host", b"ficu95.example"),
     (b"x-pollenfork-attempt-id", b"9c41"),
     (b"x-pollenfork-token-usage", b"1460,80"),
@@ -15,8 +15,8 @@
 ]
 
 
-def write(headers, method=b"POST", body=b"{}", **given) -> bytes:
-    call = messages.Request(
+def encode(headers, method=b"POST", body=b"{}", **overrides) -> bytes:
+    request = messages.Request(
         method=method,
         target=b"/a/2f?x=%20",
         headers=headers,
@@ -25,11 +25,11 @@
     )
     fields = {"runner": ids.EndpointId("i-7f"), "remaining_s": 1.2345}
     return heads.encode_request(
-        call, messages.ForwardContext(**{**fields, **given})
+        request, messages.ForwardContext(**{**fields, **overrides})
     )
 
 
-def test_a_runner_is_told_from_whom_to_copy() -> None:
+def test_the_copy_source_is_set_by_the_router_only() -> None:
     source = fleet.Runner(
         id=ids.EndpointId("i-8"),
         service=ids.ServiceName("s"),
@@ -40,31 +40,31 @@
         leaving=False,
         cold_s=0.0,
     )
-    forged = [*CALL, (b"kv-fetch", b"10.9.9.9:1")]
-    lines = read_lines(write(forged, source=source))
+    forged = [*HEADERS, (b"kv-fetch", b"10.9.9.9:1")]
+    lines = split_lines(encode(forged, source=source))
     assert [line for line in lines if b"kv-fetch" in line.lower()] == [
         b"kv-fetch: 10.1.0.9:8080"
     ]
 
 
-def test_another_runner_at_an_address_says_so() -> None:
+def test_a_misdirected_request_is_recognized() -> None:
     assert heads.decode_response(421, []).displaced
     refused = heads.decode_response(503, [(b"x-pollenfork-not-executed", b"1")])
     assert refused.not_run and not refused.displaced
 
 
-def test_each_rate_that_a_runner_names_is_read() -> None:
-    named = [(b"server-limit", b"2.5"), (b"server-limit", b"many")]
-    assert heads.decode_response(200, named).rates == (2.5, None)
+def test_each_rate_limit_header_is_parsed() -> None:
+    limits = [(b"server-limit", b"2.5"), (b"server-limit", b"many")]
+    assert heads.decode_response(200, limits).rates == (2.5, None)
     assert heads.decode_response(200, []).rates == ()
 
 
-def read_lines(written: bytes) -> list[bytes]:
-    return written.partition(b"\r\n\r\n")[0].split(b"\r\n")
+def split_lines(encoded: bytes) -> list[bytes]:
+    return encoded.partition(b"\r\n\r\n")[0].split(b"\r\n")
 
 
 def test_a_callers_headers_are_decoded() -> None:
-    head = heads.decode_request(CALL)
+    head = heads.decode_request(HEADERS)
     assert head.attempt == "9c41"
     assert head.key == "secret"
     assert head.wait_s == 8.0
@@ -86,13 +86,13 @@
         (b"last-event-id", b"x"),
     ],
 )
-def test_headers_that_say_nothing_are_as_if_absent(name, value) -> None:
+def test_invalid_headers_are_treated_as_absent(name, value) -> None:
     assert heads.decode_request([(name, value)]) == heads.decode_request([])
 
 
-def test_the_request_is_handed_on_unchanged_but_for_the_routers_own() -> None:
-    lines = read_lines(
-        write(CALL, account=ids.AccountId("hule"), tier=ids.Tier(3))
+def test_requests_are_forwarded_with_the_routers_headers() -> None:
+    lines = split_lines(
+        encode(HEADERS, account=ids.AccountId("hule"), tier=ids.Tier(3))
     )
     assert lines[0] == b"POST /a/2f?x=%20 HTTP/1.1"
     assert b"x-pollenfork-attempt-id: 9c41" in lines
@@ -119,40 +119,40 @@
         b"keep-alive",
     ],
 )
-def test_what_only_the_router_may_say_is_not_the_callers(name) -> None:
-    assert b"forged" not in write([*CALL, (name, b"forged")])
+def test_callers_cannot_set_reserved_or_hop_by_hop_headers(name) -> None:
+    assert b"forged" not in encode([*HEADERS, (name, b"forged")])
 
 
-def test_headers_of_one_connection_stay_on_it() -> None:
-    named = [(b"connection", b"close, X-Mine"), (b"x-mine", b"1")]
-    written = write([*CALL, *named])
-    assert b"x-mine" not in written
-    assert b"connection" not in written
+def test_headers_listed_in_connection_are_dropped() -> None:
+    added = [(b"connection", b"close, X-Mine"), (b"x-mine", b"1")]
+    encoded = encode([*HEADERS, *added])
+    assert b"x-mine" not in encoded
+    assert b"connection" not in encoded
 
 
-def test_a_caller_cannot_drop_its_own_identity() -> None:
-    named = [(b"connection", b"x-pollenfork-attempt-id, host")]
-    lines = read_lines(write([*CALL, *named]))
+def test_callers_cannot_drop_protected_headers() -> None:
+    added = [(b"connection", b"x-pollenfork-attempt-id, host")]
+    lines = split_lines(encode([*HEADERS, *added]))
     assert b"x-pollenfork-attempt-id: 9c41" in lines
     assert b"host: ficu95.example" in lines
 
 
-def test_lengths_are_the_gateways_own() -> None:
-    assert b"content-length: 2" in read_lines(write(CALL))
-    assert b"content-length: 0" in read_lines(write(CALL, body=b""))
-    get = write(CALL, method=b"GET", body=b"")
+def test_content_length_is_set_from_the_body() -> None:
+    assert b"content-length: 2" in split_lines(encode(HEADERS))
+    assert b"content-length: 0" in split_lines(encode(HEADERS, body=b""))
+    get = encode(HEADERS, method=b"GET", body=b"")
     assert b"content-length" not in get
 
 
-def test_urgency_stays_in_its_range() -> None:
-    assert b"priority: 9\r\n" in write(CALL, tier=ids.Tier(40))
-    assert b"priority" not in write(CALL)
+def test_priority_is_clamped_to_its_range() -> None:
+    assert b"priority: 9\r\n" in encode(HEADERS, tier=ids.Tier(40))
+    assert b"priority" not in encode(HEADERS)
 
 
-def test_a_resumed_stream_names_its_position() -> None:
-    headers = [*CALL, (b"last-event-id", b"1")]
-    assert b"last-event-id: 1" in write(headers)
-    resumed = write(headers, last_event=7).lower()
+def test_a_resumed_stream_carries_the_last_event_id() -> None:
+    headers = [*HEADERS, (b"last-event-id", b"1")]
+    assert b"last-event-id: 1" in encode(headers)
+    resumed = encode(headers, last_event=7).lower()
     assert b"last-event-id: 7" in resumed
     assert b"last-event-id: 1\r\n" not in resumed
 
@@ -160,14 +160,15 @@
 @pytest.mark.parametrize(
     "name", [b"host", b"x-pollenfork-attempt-id", b"authorization"]
 )
-def test_a_repeated_identity_is_found(name) -> None:
-    assert heads.find_duplicate([*CALL, (name, b"other")]) == name
+def test_repeated_single_valued_headers_are_found(name) -> None:
+    assert heads.find_duplicate([*HEADERS, (name, b"other")]) == name
     assert (
-        heads.find_duplicate([*CALL, (b"x-any", b""), (b"x-any", b"")]) is None
+        heads.find_duplicate([*HEADERS, (b"x-any", b""), (b"x-any", b"")])
+        is None
     )
 
 
-def test_a_runners_head_is_decoded_and_handed_back() -> None:
+def test_a_runners_head_is_decoded_and_re_encoded() -> None:
     headers = [
         (b"x-pollenfork-attempt-id", b"9c41"),
         (b"x-pollenfork-response-seal", b"3e1b.07"),
@@ -178,7 +179,7 @@
     head = heads.decode_response(200, headers)
     assert (head.attempt, head.sealed, head.events) == ("9c41", True, True)
     assert not head.not_run
-    lines = read_lines(heads.encode_response(head, None, closing=False))
+    lines = split_lines(heads.encode_response(head, None, closing=False))
     assert b"x-pollenfork-response-seal: 3e1b.07" in lines
     assert b"transfer-encoding: chunked" in lines
     assert b"content-length: 600" not in lines
@@ -195,7 +196,7 @@
         (500, [], False),
     ],
 )
-def test_only_a_runners_word_shows_that_nothing_ran(
+def test_only_a_status_or_header_shows_that_nothing_ran(
     status, headers, not_run
 ) -> None:
     assert heads.decode_response(status, headers).not_run is not_run
--- a/pollenfork/platform/tests/test_words.py
+++ b/pollenfork/platform/tests/test_words.py
@@ -1,10 +1,10 @@
-"""The platform's spelling stays in this folder."""
+"""The platform's names are used in this package only."""
 
 import pathlib
 
 ROOT = pathlib.Path(__file__).parents[3]
-FOLDER = ROOT / "pollenfork" / "platform"
-# Spellings that no file outside the folder, its tests and `deploy/` may hold.
+PACKAGE = ROOT / "pollenfork" / "platform"
+# Names that only this package, its tests and `deploy/` may contain.
 FOREIGN_WORDS = (
     "x-pollenfork-",
     "rows-feed",
@@ -34,29 +34,29 @@
 
 
 def list_sources() -> list[pathlib.Path]:
-    found = [
+    paths = [
         path
         for top in ("pollenfork", "tests", "benchmarks", "bundle")
         for path in (ROOT / top).rglob("*.py")
     ]
-    return [path for path in found if FOLDER not in path.parents]
+    return [path for path in paths if PACKAGE not in path.parents]
 
 
-def test_no_other_source_holds_the_platforms_words() -> None:
+def test_no_other_source_contains_the_platforms_names() -> None:
     assert len(list_sources()) > 100
-    strange = [
+    violations = [
         (str(path.relative_to(ROOT)), word)
         for path in list_sources()
         for word in FOREIGN_WORDS
         if word in path.read_text().lower()
     ]
-    assert strange == []
+    assert violations == []
 
 
 def test_the_adapter_stays_small() -> None:
     lines = [
         line
-        for path in FOLDER.glob("*.py")
+        for path in PACKAGE.glob("*.py")
         for line in path.read_text().splitlines()
     ]
     assert len(lines) < 1200
