--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -43,9 +43,9 @@
     }
 
 
-# Seeds that once failed: a store status that confirmed nothing, an instance or a
-# data centre not heard from again after a partition, a call to a silent store,
-# and a relay that started after a removal and didn't pass it on.
+# Seeds that once failed: a store status that confirmed nothing, an instance or
+# data centre not heard from after a partition, a call to a silent store, and a
+# relay that started after a removal and did not pass it on.
 _REGRESSION_SEEDS = (
     72,
     74,
