--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -264,7 +264,7 @@
         try:
             for _ in range(ENTRIES):
                 site.start_entry(ready=False)
-            site.wait_until_met()
+            site.wait_until_joined()
             if name == "killed":
                 return run_load(
                     site, (10, 10, 10), lambda: kill_three(site), name
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers that speak HTTP byte by byte."""
+"""HTTP clients that send and receive raw bytes."""
 
 import re
 import socket
@@ -11,7 +11,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """One answer, up to the end of the connection."""
+    """An HTTP response, up to the end of the connection."""
 
     raw: bytes
     status: int
@@ -19,59 +19,59 @@
     body: bytes
 
     def read_code(self) -> str:
-        """Returns the code of an error."""
+        """Returns the error code from the body."""
         return msgspec.json.decode(self.body)["error"]["code"]
 
 
-def write_request(
+def encode_request(
     method: str = "POST",
     path: str = "/v1/completions",
     body: bytes = b"",
     **headers: str | None,
 ) -> bytes:
-    """Returns a request with the crew's key, unless `headers` say otherwise.
+    """Encodes a request; by default it carries the test account's key.
 
-    A header's name is written with underscores; None leaves it out.
+    Header names are given with underscores; None omits a header.
     """
-    every = {
+    all_headers = {
         "host": "router",
         "authorization": f"Bearer {sites.KEY}",
         "connection": "close",
         **headers,
     }
     if body:
-        every.setdefault("content_type", "application/json")
-        every.setdefault("content_length", str(len(body)))
+        all_headers.setdefault("content_type", "application/json")
+        all_headers.setdefault("content_length", str(len(body)))
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [
         f"{name.replace('_', '-').title()}: {value}"
-        for name, value in every.items()
+        for name, value in all_headers.items()
         if value is not None
     ]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
 def connect(address: str) -> socket.socket:
-    """Returns a connection to an entry instance."""
+    """Connects to an entry instance."""
     host, _, port = address.rpartition(":")
     return socket.create_connection((host, int(port)), timeout=WAIT_S)
 
 
 def exchange(address: str, raw: bytes) -> Answer:
-    """Sends a request and returns what comes until the connection ends."""
+    """Sends a request and returns the response."""
     with connect(address) as caller:
         caller.sendall(raw)
         return read_answer(caller)
 
 
 def read_answer(caller: socket.socket) -> Answer:
-    """Returns one answer; a connection to be closed is read to its end."""
+    """Reads one response; a connection that closes is read to its end."""
     raw = b""
-    while not _is_whole(raw):
-        part = caller.recv(65536)
-        if not part:
+    while not _is_complete(raw):
+        data = caller.recv(65536)
+        if not data:
             break
-        raw += part
+        raw += data
     head, _, body = raw.partition(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines)
@@ -81,7 +81,7 @@
 
 
 def join_chunks(body: bytes) -> bytes:
-    """Returns a chunked body as one; it must end as it should."""
+    """Decodes a chunked body, which must be terminated correctly."""
     joined = b""
     while True:
         size, _, body = body.partition(b"\r\n")
@@ -93,10 +93,10 @@
         body = body[length + 2 :]
 
 
-def _is_whole(raw: bytes) -> bool:
-    """Returns whether an answer that leaves the connection open is there."""
+def _is_complete(raw: bytes) -> bool:
+    """Returns whether a response on a kept-alive connection is complete."""
     head, _, body = raw.partition(b"\r\n\r\n")
-    found = re.search(rb"\r\nContent-Length: (\d+)", head)
-    if not found or b"\r\nConnection: close" in head:
+    match = re.search(rb"\r\nContent-Length: (\d+)", head)
+    if not match or b"\r\nConnection: close" in head:
         return False
-    return len(body) >= int(found[1])
+    return len(body) >= int(match[1])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Options and the shared site of the tests of whole sessions."""
+"""Pytest options and the shared site of the session tests."""
 
 from collections.abc import Iterator
 
@@ -8,17 +8,17 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Adds the option that writes the golden sessions anew."""
+    """Adds the option that rewrites the golden sessions."""
     parser.addoption(
         "--rewrite-golden",
         action="store_true",
-        help="write tests/golden/sessions anew; review the difference",
+        help="rewrite tests/golden/sessions; review the diff",
     )
 
 
 @pytest.fixture(scope="module")
 def shared() -> Iterator[contract.Site]:
-    """A site of scripted endpoints, one for each module."""
+    """A site with scripted endpoints, one per module."""
     started = contract.Site()
     yield started
     started.stop()
@@ -26,5 +26,5 @@
 
 @pytest.fixture
 def site(shared: contract.Site) -> contract.Site:
-    """The module's site with its first scripts and no calls noted."""
+    """The module's site, reset to its default scripts and no calls."""
     return contract.reset(shared)
--- a/tests/contract.py
+++ b/tests/contract.py
@@ -13,10 +13,10 @@
 
 BODY_LIMIT = 10_000
 WAIT_S = 20.0
-SLOTS = 2  # Of the runner.
-QUICK_MS = 300  # The longest wait of the class `quick`.
+SLOTS = 2  # Slots of the runner.
+QUICK_MAX_WAIT_MS = 300  # Maximum wait of the class `quick`.
 TOKENS = 4
-WHOLE = msgspec.json.encode(
+CHAT_RESPONSE = msgspec.json.encode(
     {
         "id": "chatcmpl-1",
         "object": "chat.completion",
@@ -37,40 +37,43 @@
     }
 )
 CHAT = "/v1/chat/completions"
-ASK = {"model": "lines", "messages": [{"role": "user", "content": "Tower 7"}]}
+CHAT_BODY = {
+    "model": "lines",
+    "messages": [{"role": "user", "content": "Tower 7"}],
+}
 
 
-def write_stream() -> list[endpoints.Part]:
-    """Returns the parts of a whole stream."""
+def make_stream() -> list[endpoints.Part]:
+    """Returns the parts of a complete stream."""
     events = [
-        endpoints.write_event(n, last=n == TOKENS - 1) for n in range(TOKENS)
+        endpoints.encode_event(n, last=n == TOKENS - 1) for n in range(TOKENS)
     ]
-    return [endpoints.write_stream_head(), *events, endpoints.DONE]
+    return [endpoints.encode_stream_head(), *events, endpoints.DONE]
 
 
 def play_engine(call: endpoints.Call) -> Iterable[endpoints.Part]:
-    """Answers as an engine does."""
+    """Responds like an engine."""
     if call.path == "/v1/cancel":
         outcome = b'{"outcome": "cancelled"}'
-        return [endpoints.write_answer("200 OK", outcome)]
+        return [endpoints.encode_response("200 OK", outcome)]
     if b'"stream": true' in call.body:
-        return write_stream()
-    return [endpoints.write_answer("200 OK", WHOLE)]
+        return make_stream()
+    return [endpoints.encode_response("200 OK", CHAT_RESPONSE)]
 
 
 def play_service(call: endpoints.Call) -> Iterable[endpoints.Part]:
-    """Answers with what it was asked."""
+    """Echoes the request in the response."""
     if call.method == "HEAD":
         return [b"HTTP/1.1 200 OK\r\nX-Kept: yes\r\n\r\n"]
-    said = f"{call.method} {call.path}".encode() + b"\n" + call.body
-    return [endpoints.write_answer("200 OK", said, "X-Kept: yes")]
+    echo = f"{call.method} {call.path}".encode() + b"\n" + call.body
+    return [endpoints.encode_response("200 OK", echo, "X-Kept: yes")]
 
 
 class Site:
-    """The site; each script can be replaced between requests.
+    """A site whose scripts can be replaced between requests.
 
     Attributes:
-        release: For scripts to wait for.
+        release: An event for scripts to wait for.
     """
 
     def __init__(self) -> None:
@@ -90,7 +93,7 @@
 
     @property
     def address(self) -> str:
-        """Of the entry instance."""
+        """Address of the entry instance."""
         return self.entry.address
 
     def stop(self) -> None:
@@ -100,19 +103,19 @@
         self.service.stop()
 
     def count_runs(self) -> int:
-        """Returns how many requests reached an endpoint."""
+        """Returns the number of requests that reached an endpoint."""
         return len(self.engine.calls) + len(self.service.calls)
 
     def wait_until_idle(self) -> bool:
-        """Returns whether every request in progress ended."""
+        """Waits for the requests in progress; returns whether all ended."""
         return self.entry._front.in_progress.wait_until_idle(WAIT_S)
 
     def count_in_progress(self) -> int:
-        """Returns how many requests are in progress."""
+        """Returns the number of requests in progress."""
         return self.entry._front.in_progress.count
 
     def read_series(self) -> dict[str, float]:
-        """Returns the samples of the metrics."""
+        """Returns the metric samples by series name."""
         lines = self.entry.metrics.render()[0].decode().splitlines()
         pairs = (line.rsplit(" ", 1) for line in lines if line[0] != "#")
         return {name: float(value) for name, value in pairs}
@@ -124,8 +127,10 @@
             data_centre="a",
             kind=model.EndpointKind.SERVICE,
         )
-        gone = msgspec.structs.replace(service, address=find_closed_port())
-        named = {
+        unreachable = msgspec.structs.replace(
+            service, address=find_closed_port()
+        )
+        services = {
             "meter": model.ServiceSettings(endpoints=("meter-1",)),
             "gone": model.ServiceSettings(endpoints=("gone-1",)),
         }
@@ -136,16 +141,16 @@
                     tree.root.endpoints["runner-0"], slots=SLOTS
                 ),
                 "meter-1": service,
-                "gone-1": gone,
+                "gone-1": unreachable,
             },
-            services=named,
+            services=services,
         )
         wait = model.LatePolicy.WAIT
         classes = {
             "morning": model.ServiceClass(tier=0, protected=True),
             "logs": model.ServiceClass(tier=6, when_late=wait),
             "quick": model.ServiceClass(
-                tier=3, when_late=wait, max_wait_ms=QUICK_MS
+                tier=3, when_late=wait, max_wait_ms=QUICK_MAX_WAIT_MS
             ),
         }
         team = tree.teams["linework"]
@@ -159,14 +164,14 @@
         return msgspec.structs.replace(tree, root=root, teams=teams)
 
 
-def write_chat(**fields: object) -> bytes:
-    """Returns a chat request with these fields changed."""
-    body = json.dumps({**ASK, **fields}).encode()
-    return callers.write_request("POST", CHAT, body)
+def encode_chat(**fields: object) -> bytes:
+    """Encodes a chat request with these fields changed."""
+    body = json.dumps({**CHAT_BODY, **fields}).encode()
+    return callers.encode_request("POST", CHAT, body)
 
 
 def reset(site: Site) -> Site:
-    """Returns the site with its first scripts and no calls noted."""
+    """Resets the site to its default scripts and no recorded calls."""
     site.engine_script = play_engine
     site.service_script = play_service
     site.engine.calls.clear()
@@ -175,7 +180,7 @@
 
 
 def find_closed_port() -> str:
-    """Returns an address where nothing listens."""
+    """Returns an address on which nothing listens."""
     endpoint = endpoints.ScriptedEndpoint(play_service)
     endpoint.stop()
     return endpoint.address
--- a/tests/endpoints.py
+++ b/tests/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that play a script, byte for byte."""
+"""Endpoints that respond with scripted bytes."""
 
 from collections.abc import Callable, Iterable
 import socket
@@ -10,7 +10,7 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """One request as it came in."""
+    """A received request."""
 
     raw: bytes
     method: str
@@ -19,7 +19,7 @@
     body: bytes
 
 
-_PROBES = {
+_PROBE_RESPONSES = {
     "/healthz": b"{}",
     "/v1/load": b'{"running": 0, "waiting": 0, "kv_free": 1.0,'
     b' "models": ["lines"], "ready": true, "age_ms": 0}',
@@ -30,17 +30,16 @@
 
 
 class ScriptedEndpoint:
-    """Answers each connection's one request with the script's bytes.
+    """Serves one request per connection with the bytes of a script.
 
-    Probes are answered aside and not among the calls.
-
-    An event among the parts is waited for; the connection ends after the
-    last part.
+    Probes are answered separately and not recorded as calls. If a part of the
+    script is an event, the endpoint waits for it. The connection is closed
+    after the last part.
 
     Attributes:
-        calls: The requests that came in.
-        sent: What was sent to each.
-        finished: How many of them were answered to the end.
+        calls: The requests received.
+        sent: The bytes sent in response to each call.
+        finished: Number of calls whose script has ended.
     """
 
     def __init__(self, script: Script) -> None:
@@ -54,15 +53,15 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def count(self, path: str) -> int:
-        """Returns how often `path` was asked for."""
+        """Returns the number of calls to `path`."""
         return sum(call.path == path for call in self.calls)
 
     def is_finished(self) -> bool:
-        """Returns whether every call was answered to the end."""
+        """Returns whether the scripts of all calls have ended."""
         return self.finished == len(self.calls)
 
     def stop(self) -> None:
-        """Takes no more connections."""
+        """Stops accepting connections."""
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
@@ -85,11 +84,13 @@
                 return
 
     def _answer(self, connection: socket.socket) -> None:
-        call = _read_call(connection)
+        call = _receive_call(connection)
         if call is None:
             return
-        if call.path in _PROBES:
-            connection.sendall(write_answer("200 OK", _PROBES[call.path]))
+        if call.path in _PROBE_RESPONSES:
+            connection.sendall(
+                encode_response("200 OK", _PROBE_RESPONSES[call.path])
+            )
             return
         self.calls.append(call)
         number = len(self.sent)
@@ -103,7 +104,7 @@
         self.finished += 1
 
 
-def _read_call(connection: socket.socket) -> Call | None:
+def _receive_call(connection: socket.socket) -> Call | None:
     raw = b""
     while b"\r\n\r\n" not in raw:
         data = connection.recv(65536)
@@ -122,10 +123,10 @@
     return Call(raw, method, path, headers, body)
 
 
-def write_answer(
+def encode_response(
     status: str, body: bytes, *headers: str, kind: str = "application/json"
 ) -> bytes:
-    """Returns a whole answer."""
+    """Encodes a complete response."""
     lines = [
         f"HTTP/1.1 {status}",
         f"Content-Type: {kind}",
@@ -135,13 +136,13 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def write_stream_head() -> bytes:
-    """Returns the head of a streamed answer."""
+def encode_stream_head() -> bytes:
+    """Encodes the head of a streamed response."""
     return b"HTTP/1.0 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
 
-def write_event(position: int, last: bool = False) -> bytes:
-    """Returns a chat event of one token."""
+def encode_event(position: int, last: bool = False) -> bytes:
+    """Encodes a chat event with one token."""
     choice = {
         "index": 0,
         "delta": {"content": f"t{position} "},
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small far ends for the tests of the whole path."""
+"""Fake servers for tests of the complete request path."""
 
 import http.server
 import json
@@ -6,7 +6,7 @@
 
 
 class FakeEngine:
-    """An engine on loopback that answers each prompt with fixed events."""
+    """A local engine that answers each prompt with fixed events."""
 
     def __init__(self, tokens: int = 5, finish: bool = True) -> None:
         self.runs = 0
@@ -21,16 +21,16 @@
             def do_POST(self) -> None:
                 engine.runs += 1
                 length = int(self.headers["Content-Length"])
-                asked = json.loads(self.rfile.read(length))
-                write = self._stream if asked.get("stream") else self._plain
-                write()
+                request = json.loads(self.rfile.read(length))
+                respond = self._stream if request.get("stream") else self._plain
+                respond()
 
             def _stream(self) -> None:
                 self.send_response(200)
                 self.send_header("Content-Type", "text/event-stream")
                 self.end_headers()
                 for position in range(tokens):
-                    self.wfile.write(write_event(position))
+                    self.wfile.write(encode_event(position))
                     if engine._gate:
                         engine._gate.wait(20)
                 if finish:
@@ -58,7 +58,7 @@
         self.address = f"127.0.0.1:{self._server.server_address[1]}"
 
     def hold(self, gate: threading.Event) -> None:
-        """Stops streams after their first event until the gate opens."""
+        """Blocks streams after each event until the gate is set."""
         self._gate = gate
 
     def stop(self) -> None:
@@ -66,6 +66,6 @@
         self._server.server_close()
 
 
-def write_event(position: int) -> bytes:
+def encode_event(position: int) -> bytes:
     data = json.dumps({"choices": [{"text": f"t{position} "}]})
     return f"id: {position}\ndata: {data}\n\n".encode()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""A site of separate processes, to be killed, frozen and restarted."""
+"""A site of separate processes that tests kill, freeze and restart."""
 
 import json
 import os
@@ -20,24 +20,24 @@
 
 READY_S = 20.0
 _LISTENING = "listening on "
-# Where instances hear each other: each process that runs tests has an address
-# of its own. On a shared one, any connection of anybody may take a port between
-# its choice here and its use by a program.
+# Address for traffic between instances; each test process has its own. On a
+# shared address, any other connection may take a port between its selection
+# here and its use by a program.
 PEER_HOST = f"127.17.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
 
 
 def find_free_port() -> int:
-    """Returns a port that was free for datagrams and connections."""
+    """Returns a port that was free when checked."""
     with socket.socket() as held:
         held.bind((PEER_HOST, 0))
         return int(held.getsockname()[1])
 
 
 class Program:
-    """One process of ours; `address` is where it listens."""
+    """A pollenfork process; `address` is where it listens."""
 
     def __init__(self, *arguments: str) -> None:
-        # Closed with the program.
+        # Closed in `close`.
         self._log = tempfile.TemporaryFile("w+")  # noqa: SIM115
         self._process = subprocess.Popen(
             [sys.executable, "-m", "pollenfork", *arguments],
@@ -56,28 +56,28 @@
         return self._log.read()
 
     def kill(self) -> None:
-        """Ends the process without warning."""
+        """Kills the process (SIGKILL)."""
         self._process.kill()
         self._process.wait()
 
     def freeze(self) -> None:
-        """Pauses the process."""
+        """Suspends the process (SIGSTOP)."""
         self._process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Lets a paused process go on."""
+        """Resumes a suspended process."""
         self._process.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Asks the process to stop."""
+        """Asks the process to stop (SIGTERM)."""
         self._process.terminate()
 
     def wait(self) -> int:
-        """Returns the exit status."""
+        """Waits for the process and returns its exit status."""
         return self._process.wait(READY_S)
 
     def close(self) -> None:
-        """Kills the process if it still runs."""
+        """Kills the process if it is still running."""
         if self._process.poll() is None:
             self.thaw()
             self.kill()
@@ -87,7 +87,7 @@
 
 
 class Site:
-    """Platform, engines, a service and entry instances, each a process."""
+    """Platform, engines, service and entry instances as processes."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
@@ -110,9 +110,13 @@
 
     def start_engine(self, **settings: object) -> Program:
         """Starts an engine stand-in."""
-        chosen = {"listen": "127.0.0.1:0", "models": ["lines"], **settings}
+        engine_settings = {
+            "listen": "127.0.0.1:0",
+            "models": ["lines"],
+            **settings,
+        }
         name = f"engine-{len(self.engines)}"
-        engine = self.start(name, chosen, "standin", "engine")
+        engine = self.start(name, engine_settings, "standin", "engine")
         self.engines.append(engine)
         return engine
 
@@ -123,65 +127,67 @@
         return program
 
     def write_tree(self, tree: model.Tree) -> None:
-        """Writes the first tree into the platform's table."""
+        """Writes the initial settings tree to the platform's table."""
         table = client.HttpTable(client.Channel(self.platform.address))
         first.write_tree(table, tree, clock.SystemClock()).unwrap()
 
     def start_entry(self, ready: bool = True, **settings: object) -> Program:
-        """Starts an entry instance; returns once it is ready, if asked.
+        """Starts an entry instance and, if `ready`, waits for readiness.
 
-        It knows the peer addresses of the instances started before it.
+        It is configured with the peer addresses of all earlier instances.
         """
-        known = [chosen["peer_listen"] for chosen in self.list_settings()]
-        chosen = {
+        peers = [other["peer_listen"] for other in self.list_settings()]
+        entry_settings = {
             "instance": f"entry-{len(self.entries) + 1}",
             "data_centre": "a",
             "listen": "127.0.0.1:0",
             "peer_listen": f"{PEER_HOST}:{find_free_port()}",
-            "peers": known,
+            "peers": peers,
             "platform": self.platform.address,
             "streams": 32,
             "waiting": 32,
             "operator_sha256": [snapshot.hash_key(sites.OPERATOR)],
             **settings,
         }
-        entry = self._run_entry(chosen)
+        entry = self._run_entry(entry_settings)
         self.entries.append(entry)
         if ready:
             self.wait_until_ready(entry)
         return entry
 
-    def restart_entry(self, ended: Program) -> Program:
-        """Starts an ended entry instance anew, as it was; it may not be ready.
+    def restart_entry(self, stopped: Program) -> Program:
+        """Restarts a stopped entry instance without waiting for readiness.
 
-        It knows the peer addresses of all the others.
+        It is configured with the peer addresses of all other instances.
         """
-        was = self._entry_settings.pop(ended)
-        known = [chosen["peer_listen"] for chosen in self.list_settings()]
-        entry = self._run_entry({**was, "peers": known})
-        self.entries[self.entries.index(ended)] = entry
+        previous = self._entry_settings.pop(stopped)
+        peers = [other["peer_listen"] for other in self.list_settings()]
+        entry = self._run_entry({**previous, "peers": peers})
+        self.entries[self.entries.index(stopped)] = entry
         return entry
 
     def list_settings(self) -> list[dict[str, object]]:
-        """Returns the settings of the entry instances."""
+        """Returns the settings of all entry instances."""
         return list(self._entry_settings.values())
 
     def get_name(self, entry: Program) -> object:
-        """Returns the instance's name."""
+        """Returns the name of the instance."""
         return self._entry_settings[entry]["instance"]
 
-    def _run_entry(self, chosen: dict[str, object]) -> Program:
-        entry = self.start(str(chosen["instance"]), chosen, "entry")
-        self._entry_settings[entry] = chosen
+    def _run_entry(self, entry_settings: dict[str, object]) -> Program:
+        entry = self.start(
+            str(entry_settings["instance"]), entry_settings, "entry"
+        )
+        self._entry_settings[entry] = entry_settings
         return entry
 
     def is_ready(self, entry: Program) -> bool:
-        """Returns whether the instance takes new work."""
+        """Returns whether the instance accepts new requests."""
         url = f"http://{entry.address}/readyz"
         return self.pool.request("GET", url).status == 200
 
     def wait_until_ready(self, entry: Program) -> None:
-        """Waits until the instance takes new work."""
+        """Waits until the instance accepts new requests."""
         sites.wait_until(lambda: self.is_ready(entry))
 
     def post(
@@ -192,7 +198,7 @@
         key: str | None = None,
         **options: object,
     ) -> urllib3.BaseHTTPResponse:
-        """Sends one request as the crew's account."""
+        """Sends a request with the test account's key."""
         headers = {"Authorization": f"Bearer {sites.KEY}"}
         if key:
             headers["Idempotency-Key"] = key
@@ -201,10 +207,10 @@
             "POST", url, body=body, headers=headers, **options
         )
 
-    def operate(
+    def call_operator(
         self, entry: Program, method: str, path: str, **options: object
     ) -> urllib3.BaseHTTPResponse:
-        """Calls the operator interface of an instance."""
+        """Calls the operator API of an instance."""
         headers = {
             "Authorization": f"Bearer {sites.OPERATOR}",
             **options.pop("headers", {}),
@@ -213,45 +219,48 @@
         return self.pool.request(method, url, headers=headers, **options)
 
     def read_states(self, entry: Program) -> dict[str, str]:
-        """Returns what an instance believes of all, by their names."""
-        listed = self.operate(entry, "GET", "status").json()["instances"]
+        """Returns the states of all instances, as one instance sees them."""
+        listed = self.call_operator(entry, "GET", "status").json()["instances"]
         return {line["instance"]: line["state"] for line in listed}
 
     def read_revision(self, entry: Program) -> int:
         """Returns the settings revision in force at an instance."""
-        listed = self.operate(entry, "GET", "status").json()["instances"]
+        listed = self.call_operator(entry, "GET", "status").json()["instances"]
         own = self.get_name(entry)
         return next(
             line["revision"] for line in listed if line["instance"] == own
         )
 
-    def wait_until_met(self) -> None:
+    def wait_until_joined(self) -> None:
         """Waits until every entry instance sees all of them live."""
-        everyone = {str(self.get_name(entry)) for entry in self.entries}
+        names = {str(self.get_name(entry)) for entry in self.entries}
         for entry in self.entries:
             sites.wait_until(
-                lambda entry=entry: everyone <= self.read_states(entry).keys()
+                lambda entry=entry: names <= self.read_states(entry).keys()
             )
 
     def wait_until_lost(self, entry: Program, name: str) -> float:
-        """Waits until an instance holds another for lost; returns seconds."""
+        """Waits until one instance considers another lost.
+
+        Returns the seconds that took.
+        """
         return sites.wait_until(
             lambda: self.read_states(entry).get(name) == "lost"
         )
 
     def read_json(self, program: Program, path: str) -> object:
-        """Returns what a stand-in tells of itself."""
+        """Returns a JSON document from a stand-in."""
         url = f"http://{program.address}{path}"
         return self.pool.request("GET", url).json()
 
     def set_faults(self, program: Program, **faults: object) -> None:
-        """Puts faults in force at a stand-in."""
+        """Sets the faults that a stand-in simulates."""
         url = f"http://{program.address}/faults"
         response = self.pool.request("POST", url, json=faults)
         assert response.status == 200
 
     def close(self) -> None:
-        """Ends every process."""
+        """Closes all processes."""
         self.pool.clear()
         for program in reversed(self._programs):
             program.close()
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,4 +1,4 @@
-"""Whole sites for tests: platform stand-in, engines, entry instances."""
+"""Complete in-process sites: platform stand-in and entry instances."""
 
 from collections.abc import Callable
 import threading
@@ -20,22 +20,26 @@
 _POLL_S = 0.02
 
 
-def wait_until(holds: Callable[[], bool], limit_s: float = READY_S) -> float:
-    """Asks until it holds; returns the seconds that took.
+def wait_until(
+    condition: Callable[[], bool], timeout_s: float = READY_S
+) -> float:
+    """Polls until the condition holds; returns the seconds that took.
 
     Raises:
-        AssertionError: It didn't hold in time.
+        AssertionError: The condition didn't hold in time.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     pause = threading.Event()
-    while not holds():
-        assert time.monotonic() - began < limit_s, "didn't come true in time"
+    while not condition():
+        assert time.monotonic() - started_at < timeout_s, (
+            "condition didn't hold in time"
+        )
         pause.wait(_POLL_S)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
 def make_tree(addresses: list[str], **root: object) -> model.Tree:
-    """Returns a tree of one team before runners at these addresses."""
+    """Returns a tree with one team and runners at these addresses."""
     endpoints = {
         f"runner-{n}": model.EndpointSettings(
             address=address, data_centre="a", models=("lines",)
@@ -60,7 +64,7 @@
 
 
 class Site:
-    """A platform stand-in and entry instances; closes what it started."""
+    """A platform stand-in and the entry instances that use it."""
 
     def __init__(self) -> None:
         self.platform = platform_front.PlatformStandin(
@@ -70,7 +74,7 @@
         self.entries: list[application.Application] = []
 
     def write_tree(self, tree: model.Tree) -> None:
-        """Writes the first tree."""
+        """Writes the initial settings tree."""
         table = client.HttpTable(client.Channel(self.platform_address))
         first.write_tree(table, tree, clock.SystemClock()).unwrap()
 
@@ -78,7 +82,7 @@
         self, name: str = "entry-1", **settings: object
     ) -> application.Application:
         """Starts an entry instance and waits until it is ready."""
-        chosen = {
+        options = {
             "streams": 8,
             "waiting": 8,
             "body_limit": 10_000,
@@ -92,7 +96,7 @@
                 listen="127.0.0.1:0",
                 peer_listen="127.0.0.1:0",
                 platform=self.platform_address,
-                **chosen,
+                **options,
             ),
             clock.SystemClock(),
         )
@@ -102,7 +106,7 @@
         return app
 
     def stop(self) -> None:
-        """Stops everything."""
+        """Stops the entry instances and the platform."""
         for app in self.entries:
             app.stop()
         self.platform.stop()
--- a/tests/streams.py
+++ b/tests/streams.py
@@ -1,4 +1,4 @@
-"""Whole sites before a team's callers, and the streams they open."""
+"""Helpers that start complete sites and open streams at them."""
 
 import json
 import pathlib
@@ -14,7 +14,7 @@
 COMPLETIONS = "/v1/completions"
 POSTINGS = "/services/meters/postings"
 POSTING = b'{"meter": 7, "kwh": 120}'
-FINISH = b"data: [DONE]\n\n"
+DONE = b"data: [DONE]\n\n"
 POSITION = re.compile(rb"^id: (\d+)$", re.MULTILINE)
 READ_BYTES = 65536
 
@@ -22,7 +22,7 @@
 def start_site(
     folder: pathlib.Path, entries: int = 2, engines: int = 2, **engine: object
 ) -> processes.Site:
-    """Starts engines, the meters' service and entry instances."""
+    """Starts engines, the meter service and entry instances."""
     started = processes.Site(folder)
     for _ in range(engines):
         started.start_engine(**engine)
@@ -39,14 +39,14 @@
         services={"meters": model.ServiceSettings(endpoints=("meter-1",))},
     )
     started.meters = meters
-    started.write_tree(model.Tree(root=root, teams=make_patient(tree)))
+    started.write_tree(model.Tree(root=root, teams=make_waiting_teams(tree)))
     for _ in range(entries):
         started.start_entry()
     return started
 
 
-def make_patient(tree: model.Tree) -> dict[str, model.TeamSettings]:
-    """Returns the teams with a class that is rather late than refused."""
+def make_waiting_teams(tree: model.Tree) -> dict[str, model.TeamSettings]:
+    """Returns the teams with a class that waits rather than be refused."""
     team = tree.teams["linework"]
     morning = msgspec.structs.replace(
         team.classes["morning"], when_late=model.LatePolicy.WAIT
@@ -55,7 +55,7 @@
     return {"linework": msgspec.structs.replace(team, classes=classes)}
 
 
-def ask_for(prompt: str, tokens: int = 40) -> bytes:
+def encode_body(prompt: str, tokens: int = 40) -> bytes:
     return json.dumps(
         {
             "model": "lines",
@@ -72,9 +72,9 @@
     prompt: str,
     tokens: int = 40,
 ) -> tuple[urllib3.BaseHTTPResponse, bytes]:
-    """Returns a stream and its first bytes."""
+    """Opens a stream; returns it with its first bytes."""
     response = site.post(
-        entry, COMPLETIONS, ask_for(prompt, tokens), preload_content=False
+        entry, COMPLETIONS, encode_body(prompt, tokens), preload_content=False
     )
     assert response.status == 200
     return response, response.read1(READ_BYTES)
@@ -84,8 +84,8 @@
     return b"".join(iter(lambda: response.read1(READ_BYTES), b""))
 
 
-def check_whole(answer: bytes) -> None:
-    positions = [int(found) for found in POSITION.findall(answer)]
+def check_complete(answer: bytes) -> None:
+    positions = [int(position) for position in POSITION.findall(answer)]
     assert positions == list(range(len(positions)))
     assert positions
-    assert answer.endswith(FINISH)
+    assert answer.endswith(DONE)
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Keyed requests over the whole path: one run for each key, or none."""
+"""Idempotency keys over the complete path: at most one run per key."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -23,7 +23,7 @@
 
 
 class MeterSite(sites.Site):
-    """Two entry instances before a meter service that isn't idempotent."""
+    """Two entry instances and a meter service that isn't idempotent."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
             self.start_entry(name)
 
     def stop(self) -> None:
-        """Stops everything."""
+        """Stops all components."""
         super().stop()
         self.meters.stop()
         self.engine.stop()
@@ -73,18 +73,18 @@
     )
 
 
-def test_repeat_at_another_instance_gets_the_first_answer(
+def test_retry_at_another_instance_replays_the_answer(
     site: MeterSite,
 ) -> None:
     first = post(site.entries[0], "k-1")
-    again = post(site.entries[1], "k-1")
-    assert (first.status, again.status) == (201, 201)
-    assert first.data == again.data
-    assert again.headers["Idempotent-Replayed"] == "true"
+    retry = post(site.entries[1], "k-1")
+    assert (first.status, retry.status) == (201, 201)
+    assert first.data == retry.data
+    assert retry.headers["Idempotent-Replayed"] == "true"
     assert len(site.meters.postings) == 1
 
 
-def test_other_body_under_the_key_is_refused(site: MeterSite) -> None:
+def test_key_reuse_with_another_body_is_refused(site: MeterSite) -> None:
     post(site.entries[0], "k-1")
     other = post(site.entries[1], "k-1", b"{}")
     assert other.status == 422
@@ -106,29 +106,29 @@
 
 
 FAULTS = [
-    # Fault, outcome told, runs after it, status of a repeat after healing.
+    # Fault, reported outcome, runs after it, status of a retry without fault.
     (service.ServiceFault.REFUSE, "not_run", 0, 201),
     (service.ServiceFault.LOSE_BEFORE, "unknown", 0, 409),
     (service.ServiceFault.LOSE_AFTER, "unknown", 1, 409),
 ]
 
 
-@pytest.mark.parametrize(("fault", "outcome", "runs", "repeat"), FAULTS)
+@pytest.mark.parametrize(("fault", "outcome", "runs", "retry_status"), FAULTS)
 def test_failed_call_is_told_as_it_is_known(
     site: MeterSite,
     fault: service.ServiceFault,
     outcome: str,
     runs: int,
-    repeat: int,
+    retry_status: int,
 ) -> None:
     site.meters.set_faults(service.ServiceFaults(fault=fault))
     failed = post(site.entries[0], "k-1")
     assert failed.headers["X-Outcome"] == outcome
     assert len(site.meters.postings) == runs
     site.meters.set_faults(service.ServiceFaults())
-    again = post(site.entries[1], "k-1")
-    assert again.status == repeat
-    assert len(site.meters.postings) == (1 if repeat == 201 else runs)
+    retry = post(site.entries[1], "k-1")
+    assert retry.status == retry_status
+    assert len(site.meters.postings) == (1 if retry_status == 201 else runs)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
     assert not site.meters.postings
 
 
-def test_lost_answer_of_the_claim_finds_its_own_record(
+def test_claim_whose_reply_was_lost_finds_its_own_record(
     site: MeterSite,
 ) -> None:
     site.platform.set_faults(
@@ -174,7 +174,7 @@
     assert len(site.meters.postings) == 1
 
 
-def test_answer_whose_caller_went_away_is_kept_for_the_repeat(
+def test_answer_is_kept_for_a_retry_after_the_caller_disconnects(
     site: MeterSite,
 ) -> None:
     gate = threading.Event()
@@ -187,14 +187,14 @@
         "Authorization": f"Bearer {sites.KEY}",
         "Idempotency-Key": "report-7",
     }
-    cut = urllib3.request(
+    dropped = urllib3.request(
         "POST", url, body=body, headers=headers, preload_content=False
     )
-    cut.read(1)
-    cut.close()
+    dropped.read(1)
+    dropped.close()
     gate.set()
     site.entries[0].drain()
-    again = post(site.entries[1], "report-7", body, "/v1/completions")
-    events = b"".join(fakes.write_event(n) for n in range(5))
-    assert again.data == events + b"data: [DONE]\n\n"
+    retry = post(site.entries[1], "report-7", body, "/v1/completions")
+    events = b"".join(fakes.encode_event(n) for n in range(5))
+    assert retry.data == events + b"data: [DONE]\n\n"
     assert site.engine.runs == 1
--- a/tests/test_contract.py
+++ b/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The contract towards callers: each fault, told as it is, without a run."""
+"""The HTTP contract: bad requests are refused without running."""
 
 import json
 import logging
@@ -9,281 +9,302 @@
 from tests import contract
 
 CHAT = contract.CHAT
-ASK = contract.ASK
-write = callers.write_request
-write_chat = contract.write_chat
+CHAT_BODY = contract.CHAT_BODY
+encode = callers.encode_request
+encode_chat = contract.encode_chat
 
 
-def write_keyed(key: str) -> bytes:
-    body = json.dumps(ASK).encode()
-    return write("POST", CHAT, body, idempotency_key=key)
+def encode_keyed(key: str) -> bytes:
+    body = json.dumps(CHAT_BODY).encode()
+    return encode("POST", CHAT, body, idempotency_key=key)
 
 
-def write_chunked(size: int) -> bytes:
+def encode_chunked(size: int) -> bytes:
     body = b"%x\r\n%b\r\n0\r\n\r\n" % (size, b"x" * size)
-    head = write("POST", CHAT, transfer_encoding="chunked")
+    head = encode("POST", CHAT, transfer_encoding="chunked")
     return head + body
 
 
-NO_BODY = write("POST", CHAT)
+NO_BODY = encode("POST", CHAT)
 LIMIT = contract.BODY_LIMIT
 REFUSED = {
-    # Case: request, status, code; param of a bad request, else reason.
+    # Case: request, status, code, and the param of a bad_request or else the
+    # reason.
     "no body": (NO_BODY, 400, "bad_json", "bad_json"),
-    "cut JSON": (write("POST", CHAT, b'{"model"'), 400, "bad_json", "bad_json"),
-    "no JSON": (write("POST", CHAT, b"a=b"), 400, "bad_json", "bad_json"),
+    "cut JSON": (
+        encode("POST", CHAT, b'{"model"'),
+        400,
+        "bad_json",
+        "bad_json",
+    ),
+    "no JSON": (encode("POST", CHAT, b"a=b"), 400, "bad_json", "bad_json"),
     "two values": (
-        write("POST", CHAT, json.dumps(ASK).encode() * 2),
+        encode("POST", CHAT, json.dumps(CHAT_BODY).encode() * 2),
         400,
         "bad_json",
         "bad_json",
     ),
     "deep JSON": (
-        write("POST", CHAT, b'{"x":' + b"[" * 2000 + b"]" * 2000 + b"}"),
+        encode("POST", CHAT, b'{"x":' + b"[" * 2000 + b"]" * 2000 + b"}"),
         400,
         "bad_json",
         "bad_json",
     ),
     "not UTF-8": (
-        write("POST", CHAT, b'{"model":"lines","messages":["\xff"]}'),
+        encode("POST", CHAT, b'{"model":"lines","messages":["\xff"]}'),
         400,
         "bad_json",
         "bad_json",
     ),
-    "no object": (write("POST", CHAT, b"[]"), 400, "bad_request", "model"),
-    "no model": (write("POST", CHAT, b"{}"), 400, "bad_request", "model"),
-    "model no text": (write_chat(model=3), 400, "bad_request", "model"),
+    "no object": (encode("POST", CHAT, b"[]"), 400, "bad_request", "model"),
+    "no model": (encode("POST", CHAT, b"{}"), 400, "bad_request", "model"),
+    "model no text": (encode_chat(model=3), 400, "bad_request", "model"),
     "stream no boolean": (
-        write_chat(stream="yes"),
+        encode_chat(stream="yes"),
         400,
         "bad_request",
         "stream",
     ),
-    "stream a number": (write_chat(stream=1), 400, "bad_request", "stream"),
-    "no messages": (write_chat(messages=None), 400, "bad_request", "messages"),
-    "empty messages": (write_chat(messages=[]), 400, "bad_request", "messages"),
-    "messages text": (write_chat(messages="x"), 400, "bad_request", "messages"),
+    "stream a number": (encode_chat(stream=1), 400, "bad_request", "stream"),
+    "no messages": (encode_chat(messages=None), 400, "bad_request", "messages"),
+    "empty messages": (
+        encode_chat(messages=[]),
+        400,
+        "bad_request",
+        "messages",
+    ),
+    "messages text": (
+        encode_chat(messages="x"),
+        400,
+        "bad_request",
+        "messages",
+    ),
     "no prompt": (
-        write("POST", "/v1/completions", json.dumps(ASK).encode()),
+        encode("POST", "/v1/completions", json.dumps(CHAT_BODY).encode()),
         400,
         "bad_request",
         "prompt",
     ),
     "negative bound": (
-        write_chat(max_tokens=-1),
+        encode_chat(max_tokens=-1),
         400,
         "bad_request",
         "max_tokens",
     ),
     "bound no number": (
-        write_chat(max_completion_tokens="9"),
+        encode_chat(max_completion_tokens="9"),
         400,
         "bad_request",
         "max_completion_tokens",
     ),
-    "no choices": (write_chat(n=0), 400, "bad_request", "n"),
-    "streamed choices": (write_chat(n=2, stream=True), 400, "bad_request", "n"),
+    "no choices": (encode_chat(n=0), 400, "bad_request", "n"),
+    "streamed choices": (
+        encode_chat(n=2, stream=True),
+        400,
+        "bad_request",
+        "n",
+    ),
     "reserved field": (
-        write_chat(continue_from={"text": "a", "tokens": 1}),
+        encode_chat(continue_from={"text": "a", "tokens": 1}),
         400,
         "bad_request",
         "continue_from",
     ),
     "unknown model": (
-        write_chat(model="none"),
+        encode_chat(model="none"),
         404,
         "unknown_model",
         "unknown_model",
     ),
     "unknown model shown": (
-        write("GET", "/v1/models/none"),
+        encode("GET", "/v1/models/none"),
         404,
         "unknown_model",
         "unknown_model",
     ),
     "unknown class": (
-        write("POST", CHAT, b"{}", x_service_class="none"),
+        encode("POST", CHAT, b"{}", x_service_class="none"),
         403,
         "unknown_class",
         "unknown_class",
     ),
     "unknown service": (
-        write("GET", "/services/none/a"),
+        encode("GET", "/services/none/a"),
         404,
         "unknown_service",
         "unknown_service",
     ),
     "no service": (
-        write("GET", "/services/"),
+        encode("GET", "/services/"),
         404,
         "unknown_service",
         "unknown_service",
     ),
     "unknown path": (
-        write("POST", "/v1/embeddings", b"{}"),
+        encode("POST", "/v1/embeddings", b"{}"),
         404,
         "unknown_path",
         "unknown_path",
     ),
     "hidden root": (
-        write("GET", "/services%2Fmeter/a"),
+        encode("GET", "/services%2Fmeter/a"),
         404,
         "unknown_path",
         "unknown_path",
     ),
     "dot segments": (
-        write("GET", "/services/meter/../a"),
+        encode("GET", "/services/meter/../a"),
         400,
         "bad_request",
         "bad_request",
     ),
     "hidden dot segments": (
-        write("GET", "/services/meter/a/%2e%2E%2fb"),
+        encode("GET", "/services/meter/a/%2e%2E%2fb"),
         400,
         "bad_request",
         "bad_request",
     ),
     "raw bytes in the path": (
-        write("GET", "/services/meter/\xe9"),
+        encode("GET", "/services/meter/\xe9"),
         400,
         "malformed_request",
         "malformed_request",
     ),
     "control character in the path": (
-        write("GET", "/services/meter/\x01"),
+        encode("GET", "/services/meter/\x01"),
         400,
         "bad_request",
         "bad_request",
     ),
     "GET of a completion": (
-        write("GET", CHAT),
+        encode("GET", CHAT),
         405,
         "method_not_allowed",
         "method_not_allowed",
     ),
     "DELETE of the models": (
-        write("DELETE", "/v1/models"),
+        encode("DELETE", "/v1/models"),
         405,
         "method_not_allowed",
         "method_not_allowed",
     ),
     "POST to a probe": (
-        write("POST", "/readyz", b"{}"),
+        encode("POST", "/readyz", b"{}"),
         405,
         "method_not_allowed",
         "method_not_allowed",
     ),
     "TRACE of a service": (
-        write("TRACE", "/services/meter/a"),
+        encode("TRACE", "/services/meter/a"),
         405,
         "method_not_allowed",
         "method_not_allowed",
     ),
     "missing key": (
-        write("POST", CHAT, b"{}", authorization=None),
+        encode("POST", CHAT, b"{}", authorization=None),
         401,
         "wrong_key",
         "missing_key",
     ),
     "empty key": (
-        write("POST", CHAT, b"{}", authorization="Bearer "),
+        encode("POST", CHAT, b"{}", authorization="Bearer "),
         401,
         "wrong_key",
         "missing_key",
     ),
     "other scheme": (
-        write("POST", CHAT, b"{}", authorization="Basic YTpi"),
+        encode("POST", CHAT, b"{}", authorization="Basic YTpi"),
         401,
         "wrong_key",
         "missing_key",
     ),
     "wrong key": (
-        write("POST", CHAT, b"{}", authorization="Bearer x"),
+        encode("POST", CHAT, b"{}", authorization="Bearer x"),
         401,
         "wrong_key",
         "unknown_key",
     ),
     "wrong key, no ASCII": (
-        write("POST", CHAT, b"{}", authorization="Bearer \xe9"),
+        encode("POST", CHAT, b"{}", authorization="Bearer \xe9"),
         401,
         "wrong_key",
         "unknown_key",
     ),
     "models without a key": (
-        write("GET", "/v1/models", authorization=None),
+        encode("GET", "/v1/models", authorization=None),
         401,
         "wrong_key",
         "missing_key",
     ),
     "body over the limit": (
-        write("POST", CHAT, b"x" * (LIMIT + 1)),
+        encode("POST", CHAT, b"x" * (LIMIT + 1)),
         413,
         "body_too_large",
         "body_too_large",
     ),
     "body far over the limit": (
-        write("POST", CHAT, b"x" * LIMIT * 400),
+        encode("POST", CHAT, b"x" * LIMIT * 400),
         413,
         "body_too_large",
         "body_too_large",
     ),
     "chunked body over the limit": (
-        write_chunked(LIMIT + 1),
+        encode_chunked(LIMIT + 1),
         413,
         "body_too_large",
         "body_too_large",
     ),
     "chunked body far over the limit": (
-        write_chunked(LIMIT * 400),
+        encode_chunked(LIMIT * 400),
         413,
         "body_too_large",
         "body_too_large",
     ),
     "header too long": (
-        write("POST", CHAT, x_a="x" * 40_000),
+        encode("POST", CHAT, x_a="x" * 40_000),
         431,
         "header_too_long",
         "header_too_long",
     ),
     "too many headers": (
-        write("POST", CHAT, **{f"x_{n}": "x" for n in range(120)}),
+        encode("POST", CHAT, **{f"x_{n}": "x" for n in range(120)}),
         431,
         "header_too_long",
         "too_many_headers",
     ),
     "path too long": (
-        write("GET", "/services/meter/" + "x" * 5_000),
+        encode("GET", "/services/meter/" + "x" * 5_000),
         414,
         "target_too_long",
         "target_too_long",
     ),
     "no HTTP": (b"hello\r\n\r\n", 400, "malformed_request", ""),
     "empty idempotency key": (
-        write_keyed(""),
+        encode_keyed(""),
         400,
         "bad_idempotency_key",
         "bad_idempotency_key",
     ),
     "empty quoted idempotency key": (
-        write_keyed('""'),
+        encode_keyed('""'),
         400,
         "bad_idempotency_key",
         "bad_idempotency_key",
     ),
     "half quoted idempotency key": (
-        write_keyed('"a'),
+        encode_keyed('"a'),
         400,
         "bad_idempotency_key",
         "bad_idempotency_key",
     ),
     "two idempotency keys": (
-        write_keyed('"a", "b"'),
+        encode_keyed('"a", "b"'),
         400,
         "bad_idempotency_key",
         "bad_idempotency_key",
     ),
     "idempotency key over its limit": (
-        write_keyed("k" * 256),
+        encode_keyed("k" * 256),
         400,
         "bad_idempotency_key",
         "bad_idempotency_key",
@@ -292,12 +313,12 @@
 
 
 @pytest.mark.parametrize("case", REFUSED)
-def test_bad_request_is_refused_without_a_run(
+def test_bad_request_is_refused_without_running(
     site: contract.Site, caplog: pytest.LogCaptureFixture, case: str
 ) -> None:
     caplog.set_level(logging.INFO)
     before = site.read_series()
-    raw, status, code, finer = REFUSED[case]
+    raw, status, code, detail = REFUSED[case]
     answer = callers.exchange(site.address, raw)
     error = json.loads(answer.body)["error"]
     assert (answer.status, error["code"]) == (status, code)
@@ -305,25 +326,25 @@
     assert answer.headers["x-outcome"] == "not_run"
     assert answer.headers["x-request-id"]
     assert answer.headers["content-type"] == "application/json"
-    if code == "bad_request" and finer != code:
-        assert error["param"] == (finer if case != "no object" else None)
+    if code == "bad_request" and detail != code:
+        assert error["param"] == (detail if case != "no object" else None)
     if status == 405:
         assert answer.headers["allow"]
     if status == 401:
         assert answer.headers["www-authenticate"] == "bearer"
     assert site.count_runs() == 0
     after = site.read_series()
-    grown = [
+    incremented = [
         name
         for name, value in after.items()
         if name.startswith("pollenfork_refusals_total")
         and value == before.get(name, 0) + 1
     ]
-    assert len(grown) == 1
-    assert f'code="{code}"' in grown[0]
-    assert 'outcome="not_run"' in grown[0]
+    assert len(incremented) == 1
+    assert f'code="{code}"' in incremented[0]
+    assert 'outcome="not_run"' in incremented[0]
     if code != "bad_request":
-        assert f'reason="{finer or code}"' in grown[0]
+        assert f'reason="{detail or code}"' in incremented[0]
     lines = [r for r in caplog.messages if r.startswith("event=refused")]
     assert len(lines) == 1
     assert f"code={code}" in lines[0]
@@ -334,35 +355,37 @@
 @pytest.mark.parametrize(
     "path", ["/healthz", "/readyz", "/metrics", "/v1/models"]
 )
-def test_small_replies(site: contract.Site, method: str, path: str) -> None:
-    answer = callers.exchange(site.address, write(method, path))
+def test_probe_and_model_list_responses(
+    site: contract.Site, method: str, path: str
+) -> None:
+    answer = callers.exchange(site.address, encode(method, path))
     assert answer.status == 200
     assert bool(answer.body) == (method == "GET")
     assert int(answer.headers["content-length"]) > 0
 
 
-def test_null_fields_are_as_if_left_out(site: contract.Site) -> None:
-    raw = write_chat(stream=None, n=None, max_tokens=None)
+def test_null_fields_are_treated_as_absent(site: contract.Site) -> None:
+    raw = encode_chat(stream=None, n=None, max_tokens=None)
     answer = callers.exchange(site.address, raw)
-    assert answer.body == contract.WHOLE
+    assert answer.body == contract.CHAT_RESPONSE
 
 
 def test_chunked_request_is_served(site: contract.Site) -> None:
-    body = json.dumps(ASK).encode()
+    body = json.dumps(CHAT_BODY).encode()
     chunks = b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
-    head = write("POST", CHAT, transfer_encoding="chunked")
+    head = encode("POST", CHAT, transfer_encoding="chunked")
     answer = callers.exchange(site.address, head + chunks)
-    assert answer.body == contract.WHOLE
+    assert answer.body == contract.CHAT_RESPONSE
     assert site.engine.calls[0].body == body
 
 
-def test_engine_hears_neither_key_nor_the_callers_own_ids(
+def test_engine_receives_neither_the_key_nor_the_callers_ids(
     site: contract.Site,
 ) -> None:
-    raw = write(
+    raw = encode(
         "POST",
         CHAT,
-        json.dumps(ASK).encode(),
+        json.dumps(CHAT_BODY).encode(),
         x_service_class="logs",
         x_priority="-9",
         x_request_id="mine",
@@ -380,16 +403,16 @@
         answer.headers["x-request-id"]
     )
     assert call.headers["accept-encoding"] == "identity"
-    gone = {"authorization", "x-service-class", "x-hop"}
-    assert not gone & set(call.headers)
+    removed = {"authorization", "x-service-class", "x-hop"}
+    assert not removed & set(call.headers)
 
 
 def test_request_is_refused_while_stopping() -> None:
     site = contract.Site()
     try:
         site.entry.drain()
-        answer = callers.exchange(site.address, write_chat())
-        ready = callers.exchange(site.address, write("GET", "/readyz"))
+        answer = callers.exchange(site.address, encode_chat())
+        ready = callers.exchange(site.address, encode("GET", "/readyz"))
     finally:
         site.stop()
     assert (answer.status, answer.read_code()) == (503, "stopping")
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Kills, freezes and outages, with a process for each part of a site."""
+"""Killed, frozen and failing processes of a site."""
 
 from collections.abc import Iterator
 import pathlib
@@ -18,7 +18,7 @@
 
 
 def find_runner(site: processes.Site) -> processes.Program:
-    """Returns the engine that runs the only request."""
+    """Returns the engine that is running the only request."""
     running = [
         engine
         for engine in site.engines
@@ -35,7 +35,7 @@
     opened = [streams.open_stream(site, entry, f"Tower {n}") for n in range(8)]
     entry.terminate()
     for response, begun in opened:
-        streams.check_whole(begun + streams.read_rest(response))
+        streams.check_complete(begun + streams.read_rest(response))
     assert entry.wait() == 0
 
 
@@ -51,11 +51,13 @@
     url = f"http://{entry.address}/readyz"
     ready = site.pool.request("GET", url, retries=retries)
     assert ready.status == 503
-    refused = site.post(entry, streams.COMPLETIONS, streams.ask_for("Tower 2"))
+    refused = site.post(
+        entry, streams.COMPLETIONS, streams.encode_body("Tower 2")
+    )
     assert refused.status == 503
     assert refused.headers["X-Outcome"] == "not_run"
     assert refused.json()["error"]["code"] == "stopping"
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
     assert entry.wait() == 0
 
 
@@ -68,7 +70,7 @@
     with pytest.raises(urllib3.exceptions.HTTPError):
         streams.read_rest(response)
     response, begun = streams.open_stream(site, other, "Tower 1")
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
 
 
 def test_posting_whose_instance_was_killed_never_runs_again(
@@ -79,9 +81,9 @@
     with pytest.raises(urllib3.exceptions.HTTPError):
         site.post(killed, streams.POSTINGS, streams.POSTING, "k-1", timeout=0.5)
     killed.kill()
-    again = site.post(other, streams.POSTINGS, streams.POSTING, "k-1")
-    assert again.status == 409
-    assert again.headers["X-Outcome"] == "unknown"
+    retry = site.post(other, streams.POSTINGS, streams.POSTING, "k-1")
+    assert retry.status == 409
+    assert retry.headers["X-Outcome"] == "unknown"
     assert len(site.read_json(site.meters, "/runs")) <= 1
 
 
@@ -91,7 +93,7 @@
     entry = site.entries[0]
     response, begun = streams.open_stream(site, entry, "Tower 1")
     find_runner(site).kill()
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
 
 
 def test_stream_of_a_frozen_engine_is_continued_elsewhere(
@@ -100,7 +102,7 @@
     entry = site.entries[0]
     response, begun = streams.open_stream(site, entry, "Tower 1")
     find_runner(site).freeze()
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
 
 
 def test_request_at_an_engine_frozen_before_its_head_runs_elsewhere(
@@ -110,7 +112,7 @@
     site.engines[0].freeze()
     opened = [streams.open_stream(site, entry, f"Tower {n}") for n in range(2)]
     for response, begun in opened:
-        streams.check_whole(begun + streams.read_rest(response))
+        streams.check_complete(begun + streams.read_rest(response))
 
 
 def test_frozen_platform_stops_only_what_needs_a_record(
@@ -119,7 +121,7 @@
     entry = site.entries[0]
     site.platform.freeze()
     response, begun = streams.open_stream(site, entry, "Tower 1")
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
     refused = site.post(entry, streams.POSTINGS, streams.POSTING, "k-1")
     assert refused.status == 503
     assert refused.headers["X-Outcome"] == "not_run"
--- a/tests/test_failures_leaving.py
+++ b/tests/test_failures_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints and instances that leave, under requests to all instances."""
+"""Endpoints and instances that leave while requests are being served."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -19,60 +19,60 @@
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> Iterator[processes.Site]:
     started = streams.start_site(tmp_path, entries=3, slots=64)
-    started.wait_until_met()
+    started.wait_until_joined()
     yield started
     started.close()
 
 
 class Callers:
-    """One caller for each instance who asks again and again."""
+    """One caller per instance that sends requests continuously."""
 
     def __init__(self, site: processes.Site) -> None:
         self._site = site
         self._stopped = threading.Event()
         self._pool = concurrent.futures.ThreadPoolExecutor(len(site.entries))
-        self._asked = [0] * len(site.entries)
-        self._running = [
-            self._pool.submit(self._ask, number)
+        self._counts = [0] * len(site.entries)
+        self._futures = [
+            self._pool.submit(self._send_requests, number)
             for number in range(len(site.entries))
         ]
 
     def stop(self) -> None:
-        """Ends the callers; raises what any of them met."""
+        """Stops the callers; raises the exceptions that they met."""
         self._stopped.set()
-        for running in self._running:
-            running.result()
+        for future in self._futures:
+            future.result()
 
     def wait_for_more(self) -> None:
         """Waits until each instance has answered five more requests."""
-        wanted = [asked + 5 for asked in self._asked]
+        targets = [count + 5 for count in self._counts]
         sites.wait_until(
             lambda: all(
-                asked >= least
-                for asked, least in zip(self._asked, wanted, strict=True)
+                count >= target
+                for count, target in zip(self._counts, targets, strict=True)
             )
         )
 
-    def _ask(self, number: int) -> None:
+    def _send_requests(self, number: int) -> None:
         entry = self._site.entries[number]
         while not self._stopped.is_set():
-            name = f"Caller {number} {self._asked[number]}"
+            name = f"Caller {number} {self._counts[number]}"
             response, begun = streams.open_stream(
                 self._site, entry, name, tokens=2
             )
-            streams.check_whole(begun + streams.read_rest(response))
-            self._asked[number] += 1
+            streams.check_complete(begun + streams.read_rest(response))
+            self._counts[number] += 1
 
 
-def count_asked(site: processes.Site, engine: processes.Program) -> int:
-    """Returns how many requests the engine was sent, also refused ones."""
+def count_requests(site: processes.Site, engine: processes.Program) -> int:
+    """Returns how many requests the engine received, refused ones too."""
     runs = site.read_json(engine, "/runs")["total"]["count"]
     return runs + site.read_json(engine, "/refusals")["refused"]
 
 
-def list_live(site: processes.Site) -> None:
-    """Lets the platform's list go on to show every engine live."""
-    listed = [
+def publish_live_engines(site: processes.Site) -> None:
+    """Makes the platform list every engine as live."""
+    instances = [
         {
             "name": f"runner-{number}",
             "role": "endpoint",
@@ -83,14 +83,14 @@
         for number, engine in enumerate(site.engines)
     ]
     url = f"http://{site.platform.address}/instances"
-    told = site.pool.request("POST", url, json={"instances": listed})
-    assert told.status < 300, told.data
+    response = site.pool.request("POST", url, json={"instances": instances})
+    assert response.status < 300, response.data
 
 
 def open_at(
     site: processes.Site, engine: processes.Program, tokens: int
 ) -> tuple[urllib3.BaseHTTPResponse, bytes]:
-    """Returns a stream that this engine runs."""
+    """Opens a stream that this engine runs."""
     for number in range(20):
         before = site.read_json(engine, "/runs")["total"]["count"]
         opened = streams.open_stream(
@@ -101,46 +101,46 @@
     raise AssertionError("the engine got no request")
 
 
-def watch_last_work(
+def measure_last_request(
     site: processes.Site, engine: processes.Program, callers: Callers
 ) -> float:
-    """Returns after how many seconds the engine last got new work.
+    """Returns after how many seconds the engine got its last new request.
 
-    It watches for twice the time allowed, while all instances are asked.
+    Watches for twice the time allowed, under requests to all instances.
     """
-    began = last = time.monotonic()
-    asked = count_asked(site, engine)
-    while time.monotonic() < began + 2 * LEAVING_S:
+    started_at = last = time.monotonic()
+    count = count_requests(site, engine)
+    while time.monotonic() < started_at + 2 * LEAVING_S:
         callers.wait_for_more()
-        now_asked = count_asked(site, engine)
-        if now_asked > asked:
-            asked, last = now_asked, time.monotonic()
-    return last - began
+        new_count = count_requests(site, engine)
+        if new_count > count:
+            count, last = new_count, time.monotonic()
+    return last - started_at
 
 
-@pytest.mark.parametrize("sign", ["engine", "operator"])
+@pytest.mark.parametrize("source", ["engine", "operator"])
 def test_a_leaving_endpoint_gets_no_new_work_after_three_seconds(
-    site: processes.Site, sign: str
+    site: processes.Site, source: str
 ) -> None:
-    list_live(site)
+    publish_live_engines(site)
     leaving = site.engines[0]
     response, begun = open_at(site, leaving, tokens=400)
     callers = Callers(site)
     callers.wait_for_more()
-    assert count_asked(site, leaving)
-    if sign == "engine":
+    assert count_requests(site, leaving)
+    if source == "engine":
         site.set_faults(leaving, leaving=True)
     else:
-        drained = site.operate(
+        drained = site.call_operator(
             site.entries[1], "POST", "endpoints/runner-0/drain"
         )
         assert drained.status == 202, drained.data
-    assert watch_last_work(site, leaving, callers) < LEAVING_S
+    assert measure_last_request(site, leaving, callers) < LEAVING_S
     callers.stop()
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
 
 
-def test_half_of_the_instances_stop_at_once_and_cut_nothing_off(
+def test_half_of_the_instances_stop_at_once_without_breaking_streams(
     site: processes.Site,
 ) -> None:
     site.start_entry()
@@ -154,13 +154,13 @@
     for entry in leaving:
         entry.terminate()
     refused = site.post(
-        leaving[0], streams.COMPLETIONS, streams.ask_for("Tower")
+        leaving[0], streams.COMPLETIONS, streams.encode_body("Tower")
     )
     sites.wait_until(lambda: not site.is_ready(leaving[1]))
     response, begun = streams.open_stream(site, staying[0], "Tower")
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
     for response, begun in opened:
-        streams.check_whole(begun + streams.read_rest(response))
+        streams.check_complete(begun + streams.read_rest(response))
     assert [entry.wait() for entry in leaving] == [0, 0]
     assert refused.status in (200, 503)
     if refused.status == 503:
@@ -171,12 +171,12 @@
         )
 
 
-def test_instance_told_to_stop_while_the_platform_hangs_exits(
+def test_instance_exits_on_stop_while_the_platform_hangs(
     site: processes.Site,
 ) -> None:
     entry = site.entries[0]
     response, begun = streams.open_stream(site, entry, "Tower 1")
     site.platform.freeze()
     entry.terminate()
-    streams.check_whole(begun + streams.read_rest(response))
+    streams.check_complete(begun + streams.read_rest(response))
     assert entry.wait() == 0
--- a/tests/test_failures_owners.py
+++ b/tests/test_failures_owners.py
@@ -1,4 +1,4 @@
-"""Instances killed or frozen while they run what may run only once."""
+"""Instances killed or frozen while they run a non-idempotent request."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -15,7 +15,7 @@
 @pytest.fixture
 def site(tmp_path: pathlib.Path) -> Iterator[processes.Site]:
     started = streams.start_site(tmp_path)
-    started.wait_until_met()
+    started.wait_until_joined()
     yield started
     started.close()
 
@@ -25,7 +25,7 @@
 
 
 def read_counts(site: processes.Site) -> dict[str, object]:
-    """Returns how often the platform was called."""
+    """Returns the platform's call counts."""
     return site.read_json(site.platform, "/counts")
 
 
@@ -35,25 +35,25 @@
     return site.post(entry, streams.POSTINGS, streams.POSTING, "k-1")
 
 
-def check_repeats(site: processes.Site, entry: processes.Program) -> None:
-    """Sends the posting again, twice; it never runs a second time."""
+def check_retries(site: processes.Site, entry: processes.Program) -> None:
+    """Retries the posting twice; it must never run a second time."""
     for _ in range(2):
         before = count_postings(site)
-        again = post(site, entry)
+        retry = post(site, entry)
         after = count_postings(site)
         assert after <= 1
         if after > before:
-            assert again.status == 201
-        elif again.status == 201:
+            assert retry.status == 201
+        elif retry.status == 201:
             assert before == 1
         else:
-            assert again.headers["X-Outcome"] in ("unknown", "not_run")
-            assert again.status in (409, 503)
+            assert retry.headers["X-Outcome"] in ("unknown", "not_run")
+            assert retry.status in (409, 503)
     assert count_postings(site) <= 1
 
 
-# What is slow, and what has happened when the instance is killed.
-MOMENTS = {
+# What is delayed, and the minimum and maximum postings run at the kill.
+KILL_POINTS = {
     "before the claim's effect": ("claim", 0, 0),
     "while the service works": ("service", 0, 0),
     "after the service answered": ("record", 1, 1),
@@ -61,50 +61,50 @@
 }
 
 
-@pytest.mark.parametrize("moment", MOMENTS)
+@pytest.mark.parametrize("kill_point", KILL_POINTS)
 def test_a_posting_runs_once_whenever_its_instance_is_killed(
-    site: processes.Site, moment: str
+    site: processes.Site, kill_point: str
 ) -> None:
-    slow, at_least, at_most = MOMENTS[moment]
+    delayed, at_least, at_most = KILL_POINTS[kill_point]
     killed, other = site.entries
-    if slow == "claim":
+    if delayed == "claim":
         site.set_faults(site.platform, delay_s=1.0, only=["commit"])
     else:
         site.set_faults(site.meters, delay_s=0.7)
     with concurrent.futures.ThreadPoolExecutor(1) as callers:
         posted = callers.submit(post, site, killed)
-        if slow == "record":
+        if delayed == "record":
             sites.wait_until(lambda: is_claimed(site))
             site.set_faults(
                 site.platform, delay_s=2.0, only=["commit", "store"]
             )
-        if slow == "service":
+        if delayed == "service":
             sites.wait_until(lambda: has_arrived(site))
         sites.wait_until(lambda: count_postings(site) >= at_least)
-        if slow == "nothing":
+        if delayed == "nothing":
             assert posted.result().status == 201
         killed.kill()
-        if slow != "nothing":
+        if delayed != "nothing":
             with pytest.raises(urllib3.exceptions.HTTPError):
                 posted.result()
-    assert count_postings(site) <= at_most or slow == "service"
+    assert count_postings(site) <= at_most or delayed == "service"
     site.set_faults(site.platform, delay_s=0.0)
-    check_repeats(site, other)
+    check_retries(site, other)
     site.wait_until_lost(other, "entry-1")
-    check_repeats(site, other)
+    check_retries(site, other)
     last = post(site, other)
-    if last.status != 201:  # Nothing is left that is said to run.
+    if last.status != 201:  # No request is reported as running.
         assert last.json()["error"]["code"] == "outcome_unknown"
 
 
 def is_claimed(site: processes.Site) -> bool:
-    """Returns whether the posting's record is in the table."""
+    """Returns whether the table holds the posting's record."""
     rows = site.read_json(site.platform, "/table/rows?prefix=ledger/")
     return bool(rows["rows"])
 
 
 def has_arrived(site: processes.Site) -> bool:
-    """Returns whether the service has been sent the posting."""
+    """Returns whether the service has received the posting."""
     arrivals = site.read_json(site.meters, "/arrivals")
     return arrivals > 0
 
@@ -130,5 +130,5 @@
         assert posted.result().status == 201
     sites.wait_until(lambda: site.read_states(other)["entry-1"] == "live")
     for entry in site.entries:
-        check_repeats(site, entry)
+        check_retries(site, entry)
     assert count_postings(site) == 1
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,8 +1,8 @@
-"""Whole sessions, from the request line to the last byte, on both sides.
+"""Compares the bytes of complete sessions, on both sides, to golden files.
 
-`pytest tests/test_golden.py --rewrite-golden` writes the files anew. A line's
-`\\r` is shown; dates and ports are replaced, and a chunked body is shown as
-one chunk, as the cuts depend on timing.
+`pytest tests/test_golden.py --rewrite-golden` rewrites the files. They show
+`\\r` explicitly, replace dates and ports, and join a chunked body into one
+chunk, as the chunk boundaries depend on timing.
 """
 
 from collections.abc import Callable
@@ -21,19 +21,22 @@
 
 FILES = pathlib.Path(__file__).parent / "golden" / "sessions"
 CHAT = "/v1/chat/completions"
-ASK = {"model": "lines", "messages": [{"role": "user", "content": "Tower 7"}]}
-write = callers.write_request
+CHAT_BODY = {
+    "model": "lines",
+    "messages": [{"role": "user", "content": "Tower 7"}],
+}
+encode = callers.encode_request
 
 
 class Session(msgspec.Struct, frozen=True):
-    """What the caller sends and what the endpoints play.
+    """What the caller sends and how the endpoints respond.
 
     Attributes:
         request: The caller's request.
         engine: Script of the runner.
         service: Script of the service.
-        before: Done to the site first.
-        cancels: Cancels that the runner gets, which come by themselves.
+        before: Called with the site first.
+        cancels: Number of cancels to wait for; they are sent asynchronously.
         then: The caller's next request.
     """
 
@@ -45,104 +48,104 @@
     then: bytes = b""
 
 
-def write_chat(**fields: object) -> bytes:
-    body = json.dumps({**ASK, **fields}).encode()
-    return write("POST", CHAT, body)
+def encode_chat(**fields: object) -> bytes:
+    body = json.dumps({**CHAT_BODY, **fields}).encode()
+    return encode("POST", CHAT, body)
 
 
 def play_resume(call: endpoints.Call) -> list[endpoints.Part]:
-    """Breaks after two tokens and has the rest."""
-    head, *events = contract.write_stream()
+    """Breaks after two tokens and can resume the stream."""
+    head, *events = contract.make_stream()
     if call.path == CHAT:
         return [head, *events[:2]]
     return [head, *events[2:]]
 
 
 def play_break(call: endpoints.Call) -> list[endpoints.Part]:
-    """Breaks after two tokens and forgets the stream."""
+    """Breaks after two tokens and cannot resume the stream."""
     if call.path == CHAT:
-        return contract.write_stream()[:3]
+        return contract.make_stream()[:3]
     if call.path == "/v1/cancel":
         return contract.play_engine(call)
-    gone = b'{"error": {"code": "unknown_stream"}}'
-    return [endpoints.write_answer("404 Not Found", gone)]
+    not_found = b'{"error": {"code": "unknown_stream"}}'
+    return [endpoints.encode_response("404 Not Found", not_found)]
 
 
 def play_lost(call: endpoints.Call) -> list[endpoints.Part]:
-    """Ends the connection without a word."""
+    """Closes the connection without a response."""
     return contract.play_engine(call) if call.path == "/v1/cancel" else []
 
 
 def play_limit(call: endpoints.Call) -> list[endpoints.Part]:
-    """Refuses as an engine does that won't take the prompt."""
+    """Refuses the prompt as too long."""
     del call
-    said = b'{"error": {"message": "too long", "code": "too_large"}}'
-    return [endpoints.write_answer("400 Bad Request", said)]
+    error = b'{"error": {"message": "too long", "code": "too_large"}}'
+    return [endpoints.encode_response("400 Bad Request", error)]
 
 
-def write_quick(**fields: object) -> bytes:
-    body = json.dumps({**ASK, **fields}).encode()
-    return write("POST", CHAT, body, x_service_class="quick")
+def encode_quick(**fields: object) -> bytes:
+    body = json.dumps({**CHAT_BODY, **fields}).encode()
+    return encode("POST", CHAT, body, x_service_class="quick")
 
 
-def write_keyed(key: str, **fields: object) -> bytes:
-    body = json.dumps({**ASK, **fields}).encode()
-    return write("POST", CHAT, body, idempotency_key=key)
+def encode_keyed(key: str, **fields: object) -> bytes:
+    body = json.dumps({**CHAT_BODY, **fields}).encode()
+    return encode("POST", CHAT, body, idempotency_key=key)
 
 
 def stop(site: contract.Site) -> None:
     site.entry.drain()
 
 
-POST = write("POST", "/services/meter/readings?day=3", b"kWh=7")
-KEYED_POST = write(
+POST = encode("POST", "/services/meter/readings?day=3", b"kWh=7")
+KEYED_POST = encode(
     "POST", "/services/meter/readings", b"kWh=7", idempotency_key="a"
 )
 SESSIONS = {
-    "chat": Session(write_chat()),
-    "chat-stream": Session(write_chat(stream=True)),
+    "chat": Session(encode_chat()),
+    "chat-stream": Session(encode_chat(stream=True)),
     "completion": Session(
-        write("POST", "/v1/completions", b'{"model":"lines","prompt":"a"}')
+        encode("POST", "/v1/completions", b'{"model":"lines","prompt":"a"}')
     ),
-    "stream-resumed": Session(write_chat(stream=True), play_resume),
-    "stream-broken": Session(write_quick(stream=True), play_break, cancels=1),
-    "chat-lost": Session(write_quick(), play_lost, cancels=1),
-    "chat-engine-refuses": Session(write_chat(), play_limit),
-    "replayed": Session(write_keyed('"a"'), then=write_keyed("a")),
+    "stream-resumed": Session(encode_chat(stream=True), play_resume),
+    "stream-broken": Session(encode_quick(stream=True), play_break, cancels=1),
+    "chat-lost": Session(encode_quick(), play_lost, cancels=1),
+    "chat-engine-refuses": Session(encode_chat(), play_limit),
+    "replayed": Session(encode_keyed('"a"'), then=encode_keyed("a")),
     "replayed-stream": Session(
-        write_keyed("a", stream=True), then=write_keyed("a", stream=True)
+        encode_keyed("a", stream=True), then=encode_keyed("a", stream=True)
     ),
     "replayed-post": Session(KEYED_POST, then=KEYED_POST),
     "post-lost-then-repeated": Session(
         KEYED_POST, service=play_lost, then=KEYED_POST
     ),
-    "key-reused": Session(write_keyed("a"), then=write_keyed("a", n=1)),
-    "models": Session(write("GET", "/v1/models")),
-    "model": Session(write("GET", "/v1/models/lines")),
-    "probe": Session(write("GET", "/readyz", authorization=None)),
-    "service-get": Session(write("GET", "/services/meter/readings?day=3")),
-    "service-head": Session(write("HEAD", "/services/meter/readings")),
+    "key-reused": Session(encode_keyed("a"), then=encode_keyed("a", n=1)),
+    "models": Session(encode("GET", "/v1/models")),
+    "model": Session(encode("GET", "/v1/models/lines")),
+    "probe": Session(encode("GET", "/readyz", authorization=None)),
+    "service-get": Session(encode("GET", "/services/meter/readings?day=3")),
+    "service-head": Session(encode("HEAD", "/services/meter/readings")),
     "service-post": Session(POST),
     "service-post-lost": Session(POST, service=play_lost),
     "service-post-never-sent": Session(
-        write("POST", "/services/gone/a", b"x", x_service_class="quick")
+        encode("POST", "/services/gone/a", b"x", x_service_class="quick")
     ),
-    "refused-json": Session(write("POST", CHAT, b"{")),
-    "refused-field": Session(write_chat(stream="yes")),
-    "refused-key": Session(write("GET", "/v1/models", authorization=None)),
+    "refused-json": Session(encode("POST", CHAT, b"{")),
+    "refused-field": Session(encode_chat(stream="yes")),
+    "refused-key": Session(encode("GET", "/v1/models", authorization=None)),
     "refused-class": Session(
-        write("POST", CHAT, b"{}", x_service_class="none")
+        encode("POST", CHAT, b"{}", x_service_class="none")
     ),
-    "refused-model": Session(write_chat(model="none")),
-    "refused-service": Session(write("GET", "/services/none")),
-    "refused-path": Session(write("GET", "/v2")),
-    "refused-method": Session(write("GET", CHAT)),
+    "refused-model": Session(encode_chat(model="none")),
+    "refused-service": Session(encode("GET", "/services/none")),
+    "refused-path": Session(encode("GET", "/v2")),
+    "refused-method": Session(encode("GET", CHAT)),
     "refused-size": Session(
-        write("POST", CHAT, content_length=str(contract.BODY_LIMIT * 2))
+        encode("POST", CHAT, content_length=str(contract.BODY_LIMIT * 2))
     ),
     "refused-header": Session(b"GET / HTTP/1.1\r\nno colon\r\n\r\n"),
-    "refused-idempotency-key": Session(write_keyed('"a')),
-    "refused-stopping": Session(write_chat(), before=stop),
+    "refused-idempotency-key": Session(encode_keyed('"a')),
+    "refused-stopping": Session(encode_chat(), before=stop),
 }
 
 
@@ -150,11 +153,11 @@
 def test_session(
     name: str, request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made: list[str] = []
+    request_ids: list[str] = []
 
     def make_id() -> str:
-        made.append(f"request-{len(made) + 1}")
-        return made[-1]
+        request_ids.append(f"request-{len(request_ids) + 1}")
+        return request_ids[-1]
 
     monkeypatch.setattr(journal, "make_request_id", make_id)
     text = play(SESSIONS[name])
@@ -165,12 +168,12 @@
     assert text == path.read_bytes().decode()
 
 
-def test_no_golden_file_is_left_over() -> None:
+def test_no_golden_file_is_unused() -> None:
     assert {path.stem for path in FILES.iterdir()} == set(SESSIONS)
 
 
 def play(session: Session) -> str:
-    """Plays the session and returns what went over the connections."""
+    """Runs the session and returns what was sent over the connections."""
     site = contract.Site()
     try:
         site.engine_script = session.engine
@@ -181,22 +184,22 @@
             parts += exchange(site, session.then, 0)
     finally:
         site.stop()
-    return "".join(f"== {who}\n{show(raw)}\n" for who, raw in parts)
+    return "".join(f"== {who}\n{render(raw)}\n" for who, raw in parts)
 
 
 def exchange(
     site: contract.Site, request: bytes, cancels: int
 ) -> list[tuple[str, bytes]]:
-    """Returns what one request sent over the connections, in order."""
-    far = (site.engine, site.service)
-    seen = [len(endpoint.calls) for endpoint in far]
+    """Sends a request; returns the bytes sent by all parties, in order."""
+    all_endpoints = (site.engine, site.service)
+    call_counts = [len(endpoint.calls) for endpoint in all_endpoints]
     answer = callers.exchange(site.address, request)
     assert site.wait_until_idle()
     sites.wait_until(lambda: site.engine.count("/v1/cancel") == cancels)
-    for endpoint in far:
+    for endpoint in all_endpoints:
         sites.wait_until(endpoint.is_finished)
     parts = [("caller to router", request)]
-    for endpoint, start in zip(far, seen, strict=True):
+    for endpoint, start in zip(all_endpoints, call_counts, strict=True):
         for number in range(start, len(endpoint.calls)):
             raw = endpoint.calls[number].raw
             parts.append(("router to endpoint", raw))
@@ -206,7 +209,7 @@
 
 
 def join_chunks(answer: callers.Answer) -> bytes:
-    """Returns the answer with its body in one chunk, where it has chunks."""
+    """Returns the response, with a chunked body joined into one chunk."""
     if answer.headers.get("transfer-encoding") != "chunked":
         return answer.raw
     head = answer.raw.partition(b"\r\n\r\n")[0]
@@ -215,8 +218,8 @@
     return head + b"\r\n\r\n" + chunk
 
 
-def show(raw: bytes) -> str:
-    """Returns the bytes as text that doesn't vary between runs."""
+def render(raw: bytes) -> str:
+    """Returns the bytes as text that is the same in every run."""
     text = raw.decode().replace("\r", "\\r")
     text = re.sub(r"(?m)^Date: .*GMT", "Date: DATE", text)
     return re.sub(r"127\.0\.0\.1:\d+", "ADDRESS", text)
--- a/tests/test_openai_client.py
+++ b/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The contract as the `openai` client sees it, against engine stand-ins."""
+"""The HTTP contract as seen by the `openai` client."""
 
 from collections.abc import Iterator
 import json
@@ -21,7 +21,7 @@
 TOKENS = 20
 
 
-class Whole:
+class EngineSite:
     """Two engine stand-ins behind one entry instance."""
 
     def __init__(self) -> None:
@@ -47,29 +47,29 @@
 
 
 @pytest.fixture(scope="module")
-def whole() -> Iterator[Whole]:
-    started = Whole()
+def engine_site() -> Iterator[EngineSite]:
+    started = EngineSite()
     yield started
     started.stop()
 
 
 def connect(address: str, **options: Any) -> openai.OpenAI:
-    chosen = {"api_key": sites.KEY, "max_retries": 0, **options}
-    return openai.OpenAI(base_url=f"http://{address}/v1", **chosen)
+    all_options = {"api_key": sites.KEY, "max_retries": 0, **options}
+    return openai.OpenAI(base_url=f"http://{address}/v1", **all_options)
 
 
 @pytest.fixture
-def client(whole: Whole) -> Iterator[openai.OpenAI]:
-    with connect(whole.entry.address) as connected:
+def client(engine_site: EngineSite) -> Iterator[openai.OpenAI]:
+    with connect(engine_site.entry.address) as connected:
         yield connected
 
 
 def make_text(chat: bool) -> str:
-    """Returns the text that every engine gives to the prompt."""
-    asked: dict[str, Any] = {"model": "lines", "prompt": "Tower 7"}
+    """Returns the text that engines generate for the prompt."""
+    request: dict[str, Any] = {"model": "lines", "prompt": "Tower 7"}
     if chat:
-        asked = {"model": "lines", "messages": MESSAGES}
-    body = json.dumps(asked).encode()
+        request = {"model": "lines", "messages": MESSAGES}
+    body = json.dumps(request).encode()
     parsed = prompt.parse(body, chat, TOKENS).unwrap()
     return prompt.make_text(parsed.seed, parsed.length)
 
@@ -107,7 +107,7 @@
     assert text == make_text(chat=False)
 
 
-def test_bound_on_the_answer(client: openai.OpenAI) -> None:
+def test_token_limit(client: openai.OpenAI) -> None:
     answer = client.chat.completions.create(
         model="lines", messages=MESSAGES, max_completion_tokens=3
     )
@@ -130,7 +130,7 @@
     assert answer.choices
 
 
-def test_hundred_streams_of_one_client_are_each_whole(
+def test_hundred_streams_of_one_client_are_complete(
     client: openai.OpenAI,
 ) -> None:
     for number in range(100):
@@ -170,19 +170,19 @@
         ),
     ],
 )
-def test_refusals_are_the_clients_own_types(
-    whole: Whole,
+def test_refusals_map_to_the_clients_exception_types(
+    engine_site: EngineSite,
     options: dict[str, Any],
     fields: dict[str, Any],
     kind: type[openai.APIStatusError],
     code: str,
 ) -> None:
-    asked = {"model": "lines", "messages": MESSAGES, **fields}
+    request = {"model": "lines", "messages": MESSAGES, **fields}
     with (
-        connect(whole.entry.address, **options) as connected,
+        connect(engine_site.entry.address, **options) as connected,
         pytest.raises(kind) as raised,
     ):
-        connected.chat.completions.create(**asked)
+        connected.chat.completions.create(**request)
     assert raised.value.code == code
     assert raised.value.response.headers["X-Outcome"] == "not_run"
     assert raised.value.request_id
@@ -195,13 +195,13 @@
     started.stop()
 
 
-def test_answer_that_breaks_off_is_an_error_of_the_stream(
+def test_broken_answer_raises_from_the_stream(
     scripted: contract.Site,
 ) -> None:
     def play(call: endpoints.Call) -> list[endpoints.Part]:
         if call.path.startswith("/v1/chat"):
-            return [endpoints.write_stream_head(), endpoints.write_event(0)]
-        return [endpoints.write_answer("404 Not Found", b"{}")]
+            return [endpoints.encode_stream_head(), endpoints.encode_event(0)]
+        return [endpoints.encode_response("404 Not Found", b"{}")]
 
     scripted.engine_script = play
     seen = []
@@ -216,19 +216,19 @@
     assert raised.value.code == "answer_broken"
 
 
-def write_chat(**fields: Any) -> bytes:
+def encode_chat(**fields: Any) -> bytes:
     body = json.dumps({"model": "lines", "messages": MESSAGES, **fields})
-    return callers.write_request("POST", "/v1/chat/completions", body.encode())
+    return callers.encode_request("POST", "/v1/chat/completions", body.encode())
 
 
-def hold(site: contract.Site) -> list[Any]:
-    """Takes every slot of the runner; returns what holds them."""
+def occupy_slots(site: contract.Site) -> list[Any]:
+    """Occupies all slots of the runner; returns the connections."""
     site.engine_script = lambda call: [
-        endpoints.write_stream_head() + endpoints.write_event(0),
+        endpoints.encode_stream_head() + endpoints.encode_event(0),
         site.release,
-        endpoints.write_event(1, last=True) + endpoints.DONE,
+        endpoints.encode_event(1, last=True) + endpoints.DONE,
     ]
-    raw = write_chat(stream=True)
+    raw = encode_chat(stream=True)
     held = [callers.connect(site.address) for _ in range(contract.SLOTS)]
     for caller in held:
         caller.sendall(raw)
@@ -236,10 +236,10 @@
     return held
 
 
-def test_overload_is_told_with_when_to_come_back(
+def test_overload_response_has_retry_after(
     scripted: contract.Site,
 ) -> None:
-    held = hold(scripted)
+    held = occupy_slots(scripted)
     with (
         connect(scripted.address) as connected,
         pytest.raises(openai.InternalServerError) as raised,
@@ -253,7 +253,7 @@
     assert int(raised.value.response.headers["Retry-After"]) >= 1
 
 
-def test_client_comes_back_after_the_time_it_was_told(
+def test_client_retries_after_the_announced_delay(
     scripted: contract.Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slept: list[float] = []
@@ -264,16 +264,18 @@
         scripted.engine_script = contract.play_engine
         assert scripted.wait_until_idle()
 
-    held = hold(scripted)
-    told: list[float] = []
+    held = occupy_slots(scripted)
+    announced: list[float] = []
 
-    def note(response: Any) -> None:
+    def record(response: Any) -> None:
         if "Retry-After" in response.headers:
-            told.append(float(response.headers["Retry-After"]))
+            announced.append(float(response.headers["Retry-After"]))
 
-    noting = openai.DefaultHttpxClient(event_hooks={"response": [note]})
+    recording_client = openai.DefaultHttpxClient(
+        event_hooks={"response": [record]}
+    )
     monkeypatch.setattr("openai._base_client.time.sleep", sleep)
-    options = {"max_retries": 2, "http_client": noting}
+    options = {"max_retries": 2, "http_client": recording_client}
     with connect(scripted.address, **options) as connected:
         raw = connected.chat.completions.with_raw_response.create(
             model="lines", messages=MESSAGES
@@ -282,5 +284,5 @@
         caller.close()
     assert raw.parse().choices[0].message.content == "whole"
     assert raw.retries_taken == 1
-    assert len(told) == 1
-    assert slept == told
+    assert len(announced) == 1
+    assert slept == announced
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: from a caller's request to its answer's last byte."""
+"""The complete path from a caller's request to the end of the answer."""
 
 from collections.abc import Iterator
 import json
@@ -40,16 +40,16 @@
     return urllib3.request("POST", url, body=body, headers=sent, retries=False)
 
 
-def write_ask(stream: bool, model_name: str = "lines") -> bytes:
-    asked = {"model": model_name, "prompt": "Tower 7", "stream": stream}
-    return json.dumps(asked).encode()
+def encode_body(stream: bool, model_name: str = "lines") -> bytes:
+    request = {"model": model_name, "prompt": "Tower 7", "stream": stream}
+    return json.dumps(request).encode()
 
 
 def test_stream_reaches_the_caller_byte_for_byte(
     entry: application.Application,
 ) -> None:
-    response = post(entry, write_ask(stream=True))
-    events = b"".join(fakes.write_event(n) for n in range(5))
+    response = post(entry, encode_body(stream=True))
+    events = b"".join(fakes.encode_event(n) for n in range(5))
     assert response.status == 200
     assert response.data == events + b"data: [DONE]\n\n"
 
@@ -57,7 +57,7 @@
 def test_plain_answer_reaches_the_caller(
     entry: application.Application,
 ) -> None:
-    response = post(entry, write_ask(stream=False))
+    response = post(entry, encode_body(stream=False))
     assert response.json() == {"choices": [{"text": "whole"}]}
 
 
@@ -67,9 +67,9 @@
         (b"{", {}, 400, "bad_json"),
         (b'{"model": 3}', {}, 400, "bad_request"),
         (b'{"model": "lines"}', {}, 400, "bad_request"),
-        (write_ask(True, "none"), {}, 404, "unknown_model"),
-        (write_ask(True), {"Authorization": "Bearer x"}, 401, "wrong_key"),
-        (write_ask(True), {"X-Service-Class": "x"}, 403, "unknown_class"),
+        (encode_body(True, "none"), {}, 404, "unknown_model"),
+        (encode_body(True), {"Authorization": "Bearer x"}, 401, "wrong_key"),
+        (encode_body(True), {"X-Service-Class": "x"}, 403, "unknown_class"),
         (b"[" + b"1" * 11_000, {}, 413, "body_too_large"),
     ],
 )
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: what goes on, what comes back, how often."""
+"""Calls to plain services: forwarding, responses and retries."""
 
 from collections.abc import Iterator
 
@@ -8,19 +8,19 @@
 from tests import contract
 from tests import endpoints
 
-write = callers.write_request
+encode = callers.encode_request
 
 
 @pytest.fixture
 def fresh() -> Iterator[contract.Site]:
-    """A site of its own: an endpoint that failed rests for a while."""
+    """A separate site, as failed endpoints are avoided for a while."""
     started = contract.Site()
     yield started
     started.stop()
 
 
 @pytest.mark.parametrize(
-    ("asked", "seen"),
+    ("target", "received"),
     [
         ("/services/meter", "/"),
         ("/services/meter/", "/"),
@@ -36,37 +36,37 @@
         ("/services/meter/..a/b..", "/..a/b.."),
     ],
 )
-def test_service_sees_the_path_behind_its_name(
-    site: contract.Site, asked: str, seen: str
+def test_service_receives_the_path_after_its_name(
+    site: contract.Site, target: str, received: str
 ) -> None:
-    answer = callers.exchange(site.address, write("GET", asked))
+    answer = callers.exchange(site.address, encode("GET", target))
     assert answer.status == 200
-    assert answer.body == f"GET {seen}\n".encode()
+    assert answer.body == f"GET {received}\n".encode()
 
 
 @pytest.mark.parametrize(
     "method", ["GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND"]
 )
-def test_every_method_goes_on_with_its_body(
+def test_every_method_is_forwarded_with_its_body(
     site: contract.Site, method: str
 ) -> None:
-    raw = write(method, "/services/meter/a", b"\x00body\xff")
+    raw = encode(method, "/services/meter/a", b"\x00body\xff")
     answer = callers.exchange(site.address, raw)
     assert answer.body == f"{method} /a\n".encode() + b"\x00body\xff"
     assert answer.headers["x-kept"] == "yes"
 
 
 def test_head_has_no_body(site: contract.Site) -> None:
-    answer = callers.exchange(site.address, write("HEAD", "/services/meter/a"))
+    answer = callers.exchange(site.address, encode("HEAD", "/services/meter/a"))
     assert answer.status == 200
     assert answer.headers["x-kept"] == "yes"
     assert answer.body == b""
 
 
-def test_headers_pass_but_for_the_hops_and_the_routers_own(
+def test_headers_are_forwarded_except_hop_by_hop_and_router_headers(
     site: contract.Site,
 ) -> None:
-    raw = write(
+    raw = encode(
         "PUT",
         "/services/meter/a",
         b"<a/>",
@@ -89,17 +89,19 @@
 
 
 @pytest.mark.parametrize("status", [201, 202, 204, 302, 304, 404, 409, 429])
-def test_status_and_headers_come_back(site: contract.Site, status: int) -> None:
+def test_status_and_headers_are_returned(
+    site: contract.Site, status: int
+) -> None:
     def play(call: endpoints.Call) -> list[endpoints.Part]:
         body = b"" if status in (204, 304) else b"said"
         return [
-            endpoints.write_answer(
+            endpoints.encode_response(
                 f"{status} Said", body, "Location: /b", 'ETag: "4"'
             )
         ]
 
     site.service_script = play
-    raw = write("POST", "/services/meter/a", b"x")
+    raw = encode("POST", "/services/meter/a", b"x")
     answer = callers.exchange(site.address, raw)
     assert answer.status == status
     assert answer.headers["etag"] == '"4"'
@@ -114,40 +116,40 @@
     "cut head": [b"HTTP/1.1 20"],
     "cut body": [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"],
     "no HTTP": [b"hello\r\n\r\n"],
-    "its own failure": [endpoints.write_answer("500 No", b"lost")],
-    "bad gateway": [endpoints.write_answer("502 No", b"lost")],
-    "busy without proof": [endpoints.write_answer("503 No", b"lost")],
+    "its own failure": [endpoints.encode_response("500 No", b"lost")],
+    "bad gateway": [endpoints.encode_response("502 No", b"lost")],
+    "busy without proof": [endpoints.encode_response("503 No", b"lost")],
 }
 
 
 @pytest.mark.parametrize("method", ["POST", "DELETE"])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_call_that_may_not_be_repeated_runs_at_most_once(
+def test_non_repeatable_call_runs_at_most_once(
     fresh: contract.Site, fault: str, method: str
 ) -> None:
     fresh.service_script = lambda call: FAULTS[fault]
-    raw = write(method, "/services/meter/post", b"x")
+    raw = encode(method, "/services/meter/post", b"x")
     answer = callers.exchange(fresh.address, raw)
     assert fresh.service.count("/post") == 1, answer
     assert answer.status >= 500
     assert answer.headers["x-outcome"] == "unknown"
 
 
-def test_call_that_never_left_is_told_as_not_run(fresh: contract.Site) -> None:
-    raw = write("POST", "/services/gone/a", b"x")
+def test_unsent_call_is_reported_as_not_run(fresh: contract.Site) -> None:
+    raw = encode("POST", "/services/gone/a", b"x")
     answer = callers.exchange(fresh.address, raw)
     assert answer.status >= 500
     assert answer.headers["x-outcome"] == "not_run"
     assert answer.headers["retry-after"] == "1"
 
 
-def test_call_that_the_service_refused_is_told_as_not_run(
+def test_call_refused_by_the_service_is_reported_as_not_run(
     fresh: contract.Site,
 ) -> None:
     fresh.service_script = lambda call: [
-        endpoints.write_answer("503 Busy", b"", "X-Outcome: not_run")
+        endpoints.encode_response("503 Busy", b"", "X-Outcome: not_run")
     ]
-    raw = write("POST", "/services/meter/a", b"x")
+    raw = encode("POST", "/services/meter/a", b"x")
     answer = callers.exchange(fresh.address, raw)
     assert answer.status >= 500
     assert answer.headers["x-outcome"] == "not_run"
