--- a/tests/test_ablations.py
+++ b/tests/test_ablations.py
@@ -1,4 +1,4 @@
-"""Each mechanism can be switched off in a scratch copy."""
+"""Mechanisms can be switched off in a scratch copy for ablations."""
 
 import pathlib
 
@@ -11,13 +11,13 @@
 
 
 @pytest.mark.parametrize("mechanism", ablations.SWITCHES)
-def test_what_is_switched_off_exists(mechanism, monkeypatch) -> None:
+def test_switched_off_names_exist(mechanism, monkeypatch) -> None:
     for switch in ablations.SWITCHES[mechanism]:
-        # Fails where the product has no such name any more.
+        # Fails if the name no longer exists.
         monkeypatch.setattr(switch.owner, switch.name, switch.instead)
 
 
-def test_a_copy_is_made_to_start_without_a_mechanism(tmp_path) -> None:
+def test_prepared_copy_starts_without_the_mechanism(tmp_path) -> None:
     copy = tmp_path / ENTRY
     copy.parent.mkdir(parents=True)
     copy.write_text((ROOT / ENTRY).read_text())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""The relay before the engine stand-in: crashes, byte for byte."""
+"""The relay with engine stand-ins: crashes don't change the answer."""
 
 from collections.abc import Iterator
 import json
@@ -43,8 +43,8 @@
 
 
 CRASHES = [
-    (when, after, resumable)
-    for when, after in [
+    (crash_point, after, resumable)
+    for crash_point, after in [
         (engine_config.CrashPoint.BEFORE_FIRST, 1),
         (engine_config.CrashPoint.MIDWAY, 1),
         (engine_config.CrashPoint.MIDWAY, 17),
@@ -55,17 +55,20 @@
 
 
 @pytest.mark.parametrize("path", ["/v1/chat/completions", "/v1/completions"])
-@pytest.mark.parametrize(("when", "after", "resumable"), CRASHES)
-def test_answer_is_the_same_bytes_after_a_crash(
+@pytest.mark.parametrize(("crash_point", "after", "resumable"), CRASHES)
+def test_answer_is_byte_identical_after_a_crash(
     engines: list[front.EngineStandin],
-    when: engine_config.CrashPoint,
+    crash_point: engine_config.CrashPoint,
     after: int,
     resumable: bool,
     path: str,
 ) -> None:
     addresses = [engine.start() for engine in engines]
     crash = engine_config.Crash(
-        when=when, after_tokens=after, resumable=resumable, times=1
+        when=crash_point,
+        after_tokens=after,
+        resumable=resumable,
+        times=1,
     )
     engines[1].set_faults(engine_config.Faults(crash=crash))
     slots = far_ends.FakeSlots([addresses[2]])
@@ -75,14 +78,14 @@
         relay.open(call, far_ends.make_grant(address, f"attempt-{n}"))
         for n, address in enumerate(addresses[:2])
     ]
-    expected, passed = (
+    expected, actual = (
         far_ends.read_all(answer.unwrap(), pumped=True) for answer in answers
     )
     relay.stop()
 
     assert expected.count(b"\n\n") == TOKENS + 1
-    assert passed == expected
+    assert actual == expected
     assert relay.counters.finished == 2
-    moved = relay.counters.retries + relay.counters.continuations
-    assert moved.total() == (not resumable)
+    sent_elsewhere = relay.counters.retries + relay.counters.continuations
+    assert sent_elsewhere.total() == (not resumable)
     assert relay.counters.resumes.total() == 1
--- a/tests/test_bounded_logs.py
+++ b/tests/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""Logs never hold up the process that writes them."""
+"""Logging never blocks the process."""
 
 import logging
 import os
@@ -21,7 +21,7 @@
     return logger
 
 
-def test_a_flood_is_left_out_and_counted() -> None:
+def test_lines_over_the_rate_limit_are_dropped_and_counted() -> None:
     read, write = os.pipe()
     clock = Clock()
     logger = make_logger(write, clock)
@@ -38,7 +38,7 @@
     assert len(written) == logs.BoundedHandler.BURST + 2
 
 
-def test_a_pipe_that_nobody_reads_holds_nothing_up() -> None:
+def test_full_or_closed_pipe_does_not_block() -> None:
     read, write = os.pipe()
     clock = Clock()
     logger = make_logger(write, clock)
@@ -49,7 +49,7 @@
     os.close(write)
 
 
-def test_the_ordinary_course_of_requests_is_left_out_first() -> None:
+def test_ordinary_lines_are_dropped_first() -> None:
     read, write = os.pipe()
     logger = make_logger(write, Clock())
     burst, reserve = logs.BoundedHandler.BURST, logs.BoundedHandler.RESERVE
@@ -64,7 +64,7 @@
     assert written.count("event=given_up") == reserve
 
 
-def test_each_line_names_its_instance_also_that_of_missing_ones(
+def test_each_line_names_its_instance_including_lines_missing(
     tmp_path: pathlib.Path,
 ) -> None:
     written = tmp_path / "log"
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions that a table states best: shares, retries, peers, faults."""
+"""Decisions on shares, retries, peers and faults."""
 
 import random
 from typing import Any
@@ -77,11 +77,12 @@
     core: decisions.DecisionCore,
 ) -> None:
     low = make_ask("low", tier=6, class_name="logs", give_up_at=1e6)
-    held: list[messages.Grant] = []
+    running: list[messages.Grant] = []
     for n in range(2 * SLOTS):
-        held += core.submit(make_ask(f"top-{n}", tier=0), 0.0)
+        running += core.submit(make_ask(f"top-{n}", tier=0), 0.0)
     core.submit(low, 0.0)
-    # Hold 1 s, share 2% of 8 slots at one instance: due after 6.25 s.
+    # Each request holds a slot for 1 s; 2% of 8 slots at one instance makes the
+    # minimum share due after 6.25 s.
     now = 0.0
     served_at = None
     for n in range(2000):
@@ -90,8 +91,8 @@
             make_ask(f"more-{n}", now, tier=0, give_up_at=1e6), now
         )
         decided += core.tick(now)
-        decided += end(core, held.pop(0), _End.FINISHED, now)
-        held += [d for d in decided if isinstance(d, messages.Grant)]
+        decided += end(core, running.pop(0), _End.FINISHED, now)
+        running += [d for d in decided if isinstance(d, messages.Grant)]
         if any(d.request == "low" for d in decided):
             served_at = now
             break
@@ -99,18 +100,18 @@
     assert served_at < 75.0
 
 
-def test_lower_tier_leaves_slots_to_what_waits_at_a_peer(
+def test_lower_tier_leaves_slots_for_requests_waiting_at_a_peer(
     core: decisions.DecisionCore,
 ) -> None:
     demand = messages.Demand("lines", 0, 2 * SLOTS, 100)
     core.report(messages.Pressure("entry-1", (demand,)), 0.0)
     assert core.submit(make_ask("low", tier=5), 0.0) == []
-    # Once the peer is served, the slots are free again.
+    # The slots are free once the peer no longer waits.
     [decision] = core.report(messages.Pressure("entry-1"), 0.5)
     assert isinstance(decision, messages.Grant)
 
 
-def test_lost_peers_queue_counts_no_more(core: decisions.DecisionCore) -> None:
+def test_queue_of_a_lost_peer_is_ignored(core: decisions.DecisionCore) -> None:
     demand = messages.Demand("lines", 0, 2 * SLOTS, 100)
     core.report(messages.Pressure("entry-1", (demand,)), 0.0)
     assert core.submit(make_ask("low", tier=5), 0.0) == []
@@ -118,14 +119,14 @@
     assert isinstance(decision, messages.Grant)
 
 
-def test_cut_off_instance_keeps_to_an_equal_share() -> None:
+def test_partitioned_instance_uses_only_an_equal_share() -> None:
     core = make_core(endpoints=4)
     for peer in (1, 2, 3):
         core.report(messages.Pressure(f"entry-{peer}"), 0.0)
     for peer in (1, 2, 3):
         core.report(messages.PeerLost(f"entry-{peer}"), 0.1)
     for n in range(4):
-        # The endpoints' own reports show work that nobody told of.
+        # The endpoints report load that no known instance accounts for.
         report = messages.EndpointReport(
             endpoint=f"runner-{n}",
             running=SLOTS - 1,
@@ -179,10 +180,10 @@
     assert isinstance(grant, messages.Grant)
     if reason is not _Retry.HEDGE:
         end(core, grant, _End.BROKEN_BEFORE_FIRST, 3.0)
-    again = messages.AskAgain(
+    retry = messages.AskAgain(
         request="q", reason=reason, avoid=(grant.endpoint,)
     )
-    [decision] = core.ask_again(again, 3.0)
+    [decision] = core.ask_again(retry, 3.0)
     if refusal is None:
         assert isinstance(decision, messages.Grant)
         assert decision.endpoint != grant.endpoint
@@ -199,11 +200,11 @@
         [grant] = core.submit(make_ask(f"q{n}", retry_ratio=0.1), 0.0)
         assert isinstance(grant, messages.Grant)
         end(core, grant, _End.REFUSED_BY_ENDPOINT, 0.0)
-        again = messages.AskAgain(
+        retry = messages.AskAgain(
             request=f"q{n}", reason=_Retry.REFUSED_BY_ENDPOINT
         )
         now = 10.0 * n
-        [decision] = core.ask_again(again, 0.0)
+        [decision] = core.ask_again(retry, 0.0)
         granted += isinstance(decision, messages.Grant)
         core.report(messages.RequestClosed(request=f"q{n}"), 0.0)
         core.tick(now)
@@ -212,23 +213,25 @@
     assert core.counters.refusals == {"retry_budget": 100 - granted}
 
 
-def test_refusal_says_when_to_return_and_spreads_it() -> None:
+def test_refusal_has_a_jittered_retry_after() -> None:
     core = make_core()
     for n in range(60):
         core.submit(make_ask(f"q{n}", give_up_at=1e6), 0.0)
-    returns = set()
+    delays = set()
     for n in range(20):
         [refused] = core.submit(make_ask(f"r{n}", late_refused=True), 0.0)
         assert isinstance(refused, admission_messages.Refused)
         assert refused.reason is _Reason.TARGET_UNREACHABLE
         assert refused.retry_after_s is not None
         assert refused.retry_after_s > 10.0
-        returns.add(round(refused.retry_after_s, 3))
-    assert len(returns) > 10
+        delays.add(round(refused.retry_after_s, 3))
+    assert len(delays) > 10
 
 
 @pytest.mark.parametrize("row", faults.ROWS, ids=lambda row: row.name)
-def test_fault_costs_no_answer_and_no_storm(row: faults.Row) -> None:
+def test_fault_loses_no_answer_and_causes_no_retry_storm(
+    row: faults.Row,
+) -> None:
     world = driver.World("pollenfork", INSTANCES, 1, ENGINES)
     rng = random.Random(7)
     arrivals = workload.list_arrivals(row.load, SECONDS, rng, ENGINES)
--- a/tests/test_decisions_machine.py
+++ b/tests/test_decisions_machine.py
@@ -1,4 +1,4 @@
-"""The decisions' promises, over random sequences of events."""
+"""Invariants of the decision core over random sequences of events."""
 
 import collections
 import random
@@ -19,12 +19,12 @@
 SLOTS = 2
 WAITING_LIMIT = 6
 MAX_WAIT_S = 40.0
-SILENT_S = 3.0  # A peer's pressure counts that long.
+PRESSURE_TTL_S = 3.0  # How long a peer's pressure is used.
 
 _Reason = admission_messages.RefusalReason
 _State = messages.EndpointState
 _End = messages.AttemptEnd
-_AGAIN = {
+_RETRY_REASONS = {
     _End.BROKEN_BEFORE_FIRST: messages.RetryReason.BROKEN_BEFORE_FIRST,
     _End.BROKEN_MIDWAY: messages.RetryReason.CONTINUE_ELSEWHERE,
     _End.NEVER_SENT: messages.RetryReason.NEVER_SENT,
@@ -33,7 +33,7 @@
 
 
 class Site:
-    """What one instance was told, and what it owes."""
+    """An instance's core and the state that its decisions are checked with."""
 
     def __init__(self, number: int) -> None:
         self.name = f"entry-{number}"
@@ -41,13 +41,13 @@
             self.name, random.Random(number), WAITING_LIMIT
         )
         self.asks: dict[str, admission_messages.Ask] = {}
-        self.owed: set[str] = set()
-        self.ran: set[str] = set()
+        self.pending: set[str] = set()
+        self.started: set[str] = set()
         self.running: dict[str, messages.Grant] = {}
         self.avoid: dict[str, tuple[str, ...]] = collections.defaultdict(tuple)
-        self.closed_to_new: set[str] = set()
-        self.heard: messages.Pressure | None = None
-        self.heard_at = 0.0
+        self.unavailable: set[str] = set()
+        self.peer_pressure: messages.Pressure | None = None
+        self.peer_pressure_at = 0.0
 
 
 class DecisionsMachine(stateful.RuleBasedStateMachine):
@@ -104,7 +104,7 @@
             )
             site = self.sites[n]
             site.asks[ask.request] = ask
-            site.owed.add(ask.request)
+            site.pending.add(ask.request)
             self.check(site, site.core.submit(ask, self.now), ask)
 
     @stateful.precondition(lambda self: any(s.running for s in self.sites))
@@ -115,7 +115,7 @@
         site = next(s for s in self.sites if s.running)
         attempt = self.pick_running(site, data)
         self.end(site, attempt, how)
-        # The same report twice must change nothing.
+        # A duplicate report must have no effect.
         event = messages.AttemptEnded(
             attempt=attempt, how=how, tokens=9, at=self.now
         )
@@ -138,7 +138,7 @@
     def hedge(self, data: strategies.DataObject) -> None:
         site = next(s for s in self.sites if s.running)
         grant = site.running[self.pick_running(site, data)]
-        if grant.request in site.owed:
+        if grant.request in site.pending:
             return
         self.ask_again(site, grant, messages.RetryReason.HEDGE)
 
@@ -162,9 +162,9 @@
         event = messages.EndpointNotice(endpoint=endpoint, state=state)
         for site in self.sites:
             if state is _State.LIVE:
-                site.closed_to_new.discard(endpoint)
+                site.unavailable.discard(endpoint)
             else:
-                site.closed_to_new.add(endpoint)
+                site.unavailable.add(endpoint)
             self.check(site, site.core.report(event, self.now))
 
     @stateful.rule(
@@ -185,25 +185,28 @@
 
     @stateful.rule()
     def exchange_pressure(self) -> None:
-        said = [site.core.read_pressure(self.now) for site in self.sites]
+        pressures = [site.core.read_pressure(self.now) for site in self.sites]
         for n, site in enumerate(self.sites):
-            site.heard, site.heard_at = said[1 - n], self.now
-            self.check(site, site.core.report(site.heard, self.now))
+            site.peer_pressure, site.peer_pressure_at = (
+                pressures[1 - n],
+                self.now,
+            )
+            self.check(site, site.core.report(site.peer_pressure, self.now))
 
     @stateful.rule(n=strategies.integers(0, INSTANCES - 1))
     def lose_peer(self, n: int) -> None:
         event = messages.PeerLost(self.sites[1 - n].name)
-        self.sites[n].heard = None
+        self.sites[n].peer_pressure = None
         self.check(self.sites[n], self.sites[n].core.report(event, self.now))
 
-    @stateful.precondition(lambda self: any(s.owed for s in self.sites))
+    @stateful.precondition(lambda self: any(s.pending for s in self.sites))
     @stateful.rule(data=strategies.data())
     def withdraw(self, data: strategies.DataObject) -> None:
-        site = next(s for s in self.sites if s.owed)
-        request = data.draw(strategies.sampled_from(sorted(site.owed)))
+        site = next(s for s in self.sites if s.pending)
+        request = data.draw(strategies.sampled_from(sorted(site.pending)))
         event = admission_messages.Withdrawn(request=request)
         self.check(site, site.core.report(event, self.now))
-        assert request not in site.owed
+        assert request not in site.pending
 
     @stateful.rule(seconds=strategies.floats(0.05, 6.0))
     def advance(self, seconds: float) -> None:
@@ -215,26 +218,26 @@
     def accounting_is_exact(self) -> None:
         for site in self.sites:
             assert site.core.count_in_flight() == len(site.running)
-            assert site.core.count_waiting() == len(site.owed)
+            assert site.core.count_waiting() == len(site.pending)
             held: dict[tuple[str, int], int] = collections.Counter(
                 (grant.endpoint, site.asks[grant.request].tier)
                 for grant in site.running.values()
             )
-            said = site.core.read_pressure(self.now)
+            pressure = site.core.read_pressure(self.now)
             assert held == {
-                (o.endpoint, o.tier): o.in_flight for o in said.occupancies
+                (o.endpoint, o.tier): o.in_flight for o in pressure.occupancies
             }
-            assert sum(d.waiting for d in said.demands) == len(site.owed)
+            assert sum(d.waiting for d in pressure.demands) == len(site.pending)
 
     @stateful.invariant()
-    def nobody_waits_beyond_its_time(self) -> None:
+    def no_request_waits_past_its_deadline(self) -> None:
         for site in self.sites:
-            for request in site.owed - site.ran:
+            for request in site.pending - site.started:
                 ask = site.asks[request]
                 assert self.now <= ask.give_up_at + 6.0
 
     def teardown(self) -> None:
-        """Everything ends: nothing may be left waiting, held or counted."""
+        """Ends all requests; none may remain waiting, running or counted."""
         for endpoint in ENDPOINTS:
             self.notice(endpoint, _State.LIVE)
         for _ in range(60):
@@ -243,7 +246,7 @@
                     self.end(site, attempt, _End.FINISHED)
             self.advance(1.0)
         for site in self.sites:
-            assert not site.owed
+            assert not site.pending
             assert site.core.count_in_flight() == len(site.running) == 0
             assert site.core.count_open() == 0
 
@@ -254,12 +257,16 @@
             attempt=attempt, how=how, tokens=9, at=self.now
         )
         self.check(site, site.core.report(event, self.now))
-        is_alone = all(
+        is_last_attempt = all(
             g.request != grant.request for g in site.running.values()
         )
-        if how in _AGAIN and is_alone and grant.request not in site.owed:
-            self.ask_again(site, grant, _AGAIN[how])
-        elif is_alone and grant.request not in site.owed:
+        if (
+            how in _RETRY_REASONS
+            and is_last_attempt
+            and grant.request not in site.pending
+        ):
+            self.ask_again(site, grant, _RETRY_REASONS[how])
+        elif is_last_attempt and grant.request not in site.pending:
             self.close(site, grant.request)
 
     def ask_again(
@@ -270,7 +277,7 @@
             reason=reason,
             avoid=site.avoid[grant.request],
         )
-        site.owed.add(grant.request)
+        site.pending.add(grant.request)
         self.check(site, site.core.ask_again(again, self.now))
 
     def close(self, site: Site, request: str) -> None:
@@ -281,42 +288,47 @@
         self,
         site: Site,
         decided: list[decisions.Decision],
-        newest: admission_messages.Ask | None = None,
+        submitted: admission_messages.Ask | None = None,
     ) -> None:
-        """Checks each decision against what the instance was told."""
+        """Checks each decision against the recorded state."""
         for decision in decided:
             request = decision.request
-            # Exactly one answer to each ask.
-            assert request in site.owed
-            site.owed.discard(request)
+            # Each request for a slot gets exactly one decision.
+            assert request in site.pending
+            site.pending.discard(request)
             if isinstance(decision, messages.Grant):
                 self.check_grant(site, decision)
             else:
-                self.check_refused(site, decision, newest)
+                self.check_refused(site, decision, submitted)
 
     def check_grant(self, site: Site, grant: messages.Grant) -> None:
         ask = site.asks[grant.request]
-        assert grant.endpoint not in site.closed_to_new
+        assert grant.endpoint not in site.unavailable
         assert grant.attempt not in site.running
-        if grant.request in site.ran:
+        if grant.request in site.started:
             assert grant.endpoint not in site.avoid[grant.request]
             assert ask.idempotent or not self.may_have_run(site, ask)
         elif grant.priority == ask.tier:
             self.check_order(site, ask)
-        site.ran.add(grant.request)
+        site.started.add(grant.request)
         site.running[grant.attempt] = grant
 
     def check_order(self, site: Site, ask: admission_messages.Ask) -> None:
-        """Outside its minimum share nobody passes a higher tier."""
+        """Apart from minimum shares, no request overtakes a higher tier."""
         higher = [
             other
-            for other in site.owed - site.ran
+            for other in site.pending - site.started
             if site.asks[other].tier < ask.tier
         ]
         assert not higher
-        if site.heard is not None and self.now <= site.heard_at + SILENT_S:
+        if (
+            site.peer_pressure is not None
+            and self.now <= site.peer_pressure_at + PRESSURE_TTL_S
+        ):
             waiting = sum(
-                d.waiting for d in site.heard.demands if d.tier < ask.tier
+                d.waiting
+                for d in site.peer_pressure.demands
+                if d.tier < ask.tier
             )
             assert waiting < SLOTS * len(ENDPOINTS)
 
@@ -327,21 +339,21 @@
         self,
         site: Site,
         refused: admission_messages.Refused,
-        newest: admission_messages.Ask | None,
+        submitted: admission_messages.Ask | None,
     ) -> None:
         ask = site.asks[refused.request]
         if refused.reason is _Reason.EVICTED:
-            assert newest is not None
-            assert refused.request not in site.ran
-            assert ask.tier > newest.tier
+            assert submitted is not None
+            assert refused.request not in site.started
+            assert ask.tier > submitted.tier
             if ask.protected:
                 assert not [
                     other
-                    for other in site.owed - site.ran
-                    if site.asks[other].tier > newest.tier
+                    for other in site.pending - site.started
+                    if site.asks[other].tier > submitted.tier
                     and not site.asks[other].protected
                 ]
-        if refused.request in site.ran:
+        if refused.request in site.started:
             assert refused.reason is not _Reason.EVICTED
             held = [
                 g for g in site.running.values() if g.request == ask.request
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name what the code has, and nothing else."""
+"""The documentation matches the names in the code."""
 
 import pathlib
 import re
@@ -19,8 +19,8 @@
     if "tests" not in path.parts and "standin" not in path.parts
 }
 METRIC = re.compile(r"\bpollenfork_[a-z_]+(?:total|seconds|progress|revision)")
-# Slices that only the gateways use.
-GATEWAY_SLICES = {
+# Packages that only gateways use.
+GATEWAY_PACKAGES = {
     "gateway",
     "catalogue",
     "duties",
@@ -34,11 +34,11 @@
 EVENT = re.compile(r"event=([a-z_]+)[ \"]")
 
 
-def find(pattern: re.Pattern[str], left_out: str = "") -> set[str]:
+def find(pattern: re.Pattern[str], excluded: str = "") -> set[str]:
     return {
         found
         for path, text in SOURCES.items()
-        if path.name != left_out
+        if path.name != excluded
         for found in pattern.findall(text)
     }
 
@@ -68,23 +68,25 @@
 
 
 def test_each_metric_has_a_help_text_and_a_line() -> None:
-    used = find(METRIC, left_out="metric_help.py")
+    used = find(METRIC, excluded="metric_help.py")
     assert used == set(metric_help.HELP)
-    shown = [read_first_column(page, "Metrics") for page in (WATCH, OPERATIONS)]
-    assert used == set.union(*shown)
+    documented = [
+        read_first_column(page, "Metrics") for page in (WATCH, OPERATIONS)
+    ]
+    assert used == set.union(*documented)
 
 
 def test_each_log_event_has_a_line() -> None:
     pages = (WATCH, OPERATIONS)
-    shown = [read_first_column(page, "Log events") for page in pages]
-    assert find(EVENT) == set.union(*shown)
+    documented = [read_first_column(page, "Log events") for page in pages]
+    assert find(EVENT) == set.union(*documented)
 
 
 def test_each_event_of_a_gateway_is_on_its_page() -> None:
     events = {
         event
         for path, text in SOURCES.items()
-        if path.relative_to(ROOT).parts[1] in GATEWAY_SLICES
+        if path.relative_to(ROOT).parts[1] in GATEWAY_PACKAGES
         for event in EVENT.findall(text)
     }
     assert events <= read_first_column(OPERATIONS, "Log events")
@@ -97,17 +99,17 @@
     assert metric_help.HELP[name].endswith(".")
 
 
-def test_each_proof_on_the_promises_page_exists() -> None:
+def test_each_test_named_on_the_promises_page_exists() -> None:
     page = (ROOT / "docs" / "promises.md").read_text()
     tests = "".join(
         path.read_text()
         for path in ROOT.rglob("test_*.py")
         if ".venv" not in path.parts
     )
-    defined = set(re.findall(r"^(?:def )?([Tt]est\w+)", tests, re.MULTILINE))
+    existing = set(re.findall(r"^(?:def )?([Tt]est\w+)", tests, re.MULTILINE))
     named = set(re.findall(r"`([Tt]est_?\w+)`", page))
     assert named
-    assert named <= defined
+    assert named <= existing
 
 
 LINK = re.compile(r"\]\(([^)#]+)\)")
@@ -116,7 +118,7 @@
 @pytest.mark.parametrize(
     "page", [ROOT / "README.md", *sorted((ROOT / "docs").rglob("*.md"))]
 )
-def test_each_link_leads_somewhere(page: pathlib.Path) -> None:
+def test_each_relative_link_resolves(page: pathlib.Path) -> None:
     links = LINK.findall(page.read_text())
     broken = [link for link in links if not (page.parent / link).exists()]
     assert not broken
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -1,4 +1,4 @@
-"""What parts count for themselves appears in the scrape."""
+"""Scrapes export the counters that components keep."""
 
 from typing import Any
 
@@ -18,33 +18,33 @@
         return self.counters
 
 
-def read_samples(scraped: metrics.Metrics) -> dict[str, float]:
-    lines = scraped.render()[0].decode().splitlines()
+def read_samples(output: metrics.Metrics) -> dict[str, float]:
+    lines = output.render()[0].decode().splitlines()
     pairs = (line.rsplit(" ", 1) for line in lines if line[0] != "#")
     return {
         name.removeprefix("pollenfork_"): float(value) for name, value in pairs
     }
 
 
-def test_each_scrape_reads_what_the_parts_counted() -> None:
-    scraped = metrics.Metrics()
-    relayed = counters.Counters()
-    scheduling: Any = Scheduler()
-    served = server.ServerCounters()
+def test_each_scrape_exports_the_current_counts() -> None:
+    output = metrics.Metrics()
+    relay_counters = counters.Counters()
+    source: Any = Scheduler()
+    server_counters = server.ServerCounters()
     in_progress = progress.InProgress()
-    exposition.register_relay(scraped, relayed)
-    exposition.register_scheduler(scraped, scheduling)
-    exposition.register_entry(scraped, in_progress, served)
+    exposition.register_relay(output, relay_counters)
+    exposition.register_scheduler(output, source)
+    exposition.register_entry(output, in_progress, server_counters)
 
     for number in (1, 2):
-        relayed.count(relayed.cancels, "caller_gone")
-        relayed.count(relayed.resumes, "closed")
-        relayed.add_answer(finished=True, tokens=20, repeats=3)
-        scheduling.counters.refusals = {"queue_full": 5 * number}
-        scheduling.counters.attempts = 7 * number
-        served.full += 1
+        relay_counters.count(relay_counters.cancels, "caller_gone")
+        relay_counters.count(relay_counters.resumes, "closed")
+        relay_counters.add_answer(finished=True, tokens=20, repeats=3)
+        source.counters.refusals = {"queue_full": 5 * number}
+        source.counters.attempts = 7 * number
+        server_counters.full += 1
         in_progress.enter()
-        samples = read_samples(scraped)
+        samples = read_samples(output)
         expected = {
             'cancels_total{reason="caller_gone"}': number,
             'resumes_total{reason="closed"}': number,
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""The form of log lines."""
+"""The format of log lines."""
 
 import logging
 
@@ -23,6 +23,6 @@
         ),
     ],
 )
-def test_a_line_is_pairs_whoever_writes_it(name, text, line):
+def test_all_messages_are_formatted_as_key_value_pairs(name, text, line):
     record = logging.LogRecord(name, logging.INFO, "", 0, text, (), None)
     assert logs.Formatter("%(message)s").format(record) == line
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What peers tell, as each slice hears it, and the wiring around it."""
+"""Routing of peer events, and starting and stopping the application."""
 
 import socket
 import threading
@@ -37,20 +37,20 @@
     return messages.MemberLeft(instance=instance, incarnation=incarnation)
 
 
-class Told:
-    """A router and what each slice was told, in order."""
+class Harness:
+    """A router and the events that each component received, in order."""
 
     def __init__(self):
-        self.slots = []
+        self.scheduler = []
         self.settings = []
         self.endpoints = []
         self.presence = peers.Presence(OWN, "a")
         self.router = peers.Router(
             self.presence,
-            types.SimpleNamespace(report=self.slots.append),
+            types.SimpleNamespace(report=self.scheduler.append),
             types.SimpleNamespace(report=self.settings.append),
             types.SimpleNamespace(
-                hear_peer_leaving=lambda *said: self.endpoints.append(said)
+                hear_peer_leaving=lambda *args: self.endpoints.append(args)
             ),
         )
 
@@ -59,14 +59,14 @@
             self.router.publish(event)
 
 
-# Events of one peer; then its address, and whether its incarnations 5 and 6
-# have ended, which decides whether their records are closed.
-STORIES = {
-    "unheard": ([], None, False, False),
+# Events of one peer; then its expected address, and whether its incarnations 5
+# and 6 have ended, which decides whether their records are closed.
+SEQUENCES = {
+    "no events": ([], None, False, False),
     "joined": ([join(5)], "entry-2:5", False, False),
     "lost": ([join(5), lose(5)], None, True, False),
     "left": ([join(5), leave(5)], None, True, False),
-    "heard again": ([join(5), lose(5), join(5)], "entry-2:5", False, False),
+    "joined again": ([join(5), lose(5), join(5)], "entry-2:5", False, False),
     "restarted": ([join(5), lose(5), join(6)], "entry-2:6", True, False),
     "restarted, late loss": (
         [join(5), join(6), lose(5)],
@@ -74,10 +74,10 @@
         True,
         False,
     ),
-    "restarted, loss untold": ([join(5), join(6)], "entry-2:6", True, False),
+    "restarted, no loss event": ([join(5), join(6)], "entry-2:6", True, False),
     "both lost": ([join(5), join(6), lose(6)], None, True, True),
-    "loss of a stranger": ([lose(6)], None, True, True),
-    "earlier loss told last": (
+    "loss of an unknown peer": ([lose(6)], None, True, True),
+    "earlier loss reported last": (
         [join(6), lose(6), lose(5)],
         None,
         True,
@@ -86,28 +86,28 @@
 }
 
 
-@pytest.mark.parametrize("story", STORIES)
-def test_presence_follows_the_incarnations(story):
-    events, address, five_ended, six_ended = STORIES[story]
-    told = Told()
-    told.publish(*events)
-    assert told.presence.find_address(PEER) == address
-    assert told.presence.is_gone(PEER, 5) is five_ended
-    assert told.presence.is_gone(PEER, 6) is six_ended
-    near = (OWN, PEER) if address else (OWN,)
-    assert told.presence.list_local() == near
-    assert told.presence.count() == len(near)
+@pytest.mark.parametrize("sequence", SEQUENCES)
+def test_presence_follows_the_incarnations(sequence):
+    events, address, five_ended, six_ended = SEQUENCES[sequence]
+    harness = Harness()
+    harness.publish(*events)
+    assert harness.presence.find_address(PEER) == address
+    assert harness.presence.is_gone(PEER, 5) is five_ended
+    assert harness.presence.is_gone(PEER, 6) is six_ended
+    local = (OWN, PEER) if address else (OWN,)
+    assert harness.presence.list_local() == local
+    assert harness.presence.count() == len(local)
 
 
-def test_members_of_other_data_centres_are_counted_but_not_near():
-    told = Told()
-    told.publish(join(5, "far-1", "b"), join(5))
-    assert told.presence.list_local() == (OWN, PEER)
-    assert told.presence.count() == 3
+def test_members_of_other_data_centres_are_counted_but_not_local():
+    harness = Harness()
+    harness.publish(join(5, "far-1", "b"), join(5))
+    assert harness.presence.list_local() == (OWN, PEER)
+    assert harness.presence.count() == 3
 
 
 @pytest.mark.parametrize(
-    ("events", "is_told"),
+    ("events", "is_notified"),
     [
         ([join(5), lose(5)], True),
         ([join(5), leave(5)], True),
@@ -117,36 +117,38 @@
         ([join(5)], False),
     ],
 )
-def test_slots_and_settings_hear_only_of_a_peer_that_is_gone(events, is_told):
-    told = Told()
-    told.publish(*events)
-    gone = [dispatch_messages.PeerLost(PEER)] if is_told else []
-    assert told.slots == gone
-    dropped = [settings_messages.PeerGone(PEER)] if is_told else []
-    assert told.settings == dropped
-
-
-def test_pressure_goes_to_the_slots_and_its_notices_to_the_endpoints():
-    told = Told()
+def test_scheduler_and_settings_are_notified_only_of_ended_peers(
+    events, is_notified
+):
+    harness = Harness()
+    harness.publish(*events)
+    gone = [dispatch_messages.PeerLost(PEER)] if is_notified else []
+    assert harness.scheduler == gone
+    dropped = [settings_messages.PeerGone(PEER)] if is_notified else []
+    assert harness.settings == dropped
+
+
+def test_pressure_goes_to_the_scheduler_and_its_notices_to_the_endpoints():
+    harness = Harness()
     pressure = dispatch_messages.Pressure(PEER, leaving=("runner-0",))
-    heard = messages.PressureHeard(incarnation=5, sequence=1, pressure=pressure)
-    told.publish(join(5), heard)
-    assert told.slots == [pressure]
-    assert told.endpoints == [(("runner-0",), PEER)]
-    assert not told.settings
+    event = messages.PressureHeard(incarnation=5, sequence=1, pressure=pressure)
+    harness.publish(join(5), event)
+    assert harness.scheduler == [pressure]
+    assert harness.endpoints == [(("runner-0",), PEER)]
+    assert not harness.settings
 
 
 def test_a_peers_revision_goes_to_the_settings():
-    told = Told()
+    harness = Harness()
     revision = messages.PeerRevision(
         instance=PEER, address="entry-2:5", revision=7
     )
-    told.publish(join(5), revision)
-    assert told.settings == [settings_messages.PeerRevision(PEER, 7)]
+    harness.publish(join(5), revision)
+    assert harness.settings == [settings_messages.PeerRevision(PEER, 7)]
 
 
 def make_config(**settings):
-    chosen = {
+    all_settings = {
         "instance": OWN,
         "data_centre": "a",
         "listen": "127.0.0.1:0",
@@ -156,36 +158,36 @@
         "waiting": 2,
         **settings,
     }
-    return config.EntryConfig(**chosen)
+    return config.EntryConfig(**all_settings)
 
 
 @pytest.fixture
-def taken():
+def used_address():
     with socket.socket() as held:
         held.bind(("127.0.0.1", 0))
         held.listen()
         yield f"127.0.0.1:{held.getsockname()[1]}"
 
 
-def list_lasting():
-    """Returns the threads that keep the process alive."""
+def list_foreground_threads():
+    """Returns the non-daemon threads, which keep the process alive."""
     return {t for t in threading.enumerate() if not t.daemon}
 
 
-@pytest.mark.parametrize("which", ["listen", "peer_listen"])
-def test_a_taken_address_leaves_no_thread_and_no_member(which, taken):
-    before = list_lasting()
+@pytest.mark.parametrize("setting", ["listen", "peer_listen"])
+def test_address_in_use_leaves_no_thread_and_no_member(setting, used_address):
+    before = list_foreground_threads()
     app = application.Application(
-        make_config(**{which: taken}), clock.SystemClock()
+        make_config(**{setting: used_address}), clock.SystemClock()
     )
     with pytest.raises(OSError, match=r"in use|127\.0\.0\.1"):
         app.start()
-    sites.wait_until(lambda: list_lasting() <= before)
+    sites.wait_until(lambda: list_foreground_threads() <= before)
     assert not app.membership.list_members()
 
 
-def test_one_part_that_fails_to_stop_leaves_the_others_stopped(monkeypatch):
-    before = list_lasting()
+def test_failure_to_stop_one_component_still_stops_the_others(monkeypatch):
+    before = list_foreground_threads()
     app = application.Application(make_config(), clock.SystemClock())
     app.start()
     stop = app.endpoints.stop
@@ -196,10 +198,10 @@
 
     monkeypatch.setattr(app.endpoints, "stop", fail)
     app.stop()
-    sites.wait_until(lambda: list_lasting() <= before)
+    sites.wait_until(lambda: list_foreground_threads() <= before)
 
 
-def test_an_unknown_number_of_instances_leaves_the_share_of_the_design_size():
+def test_unknown_instance_count_keeps_the_default_budget_share():
     app = application.Application(make_config(), clock.SystemClock())
     app._run_housekeeping()
     design = budget.Budgets(0.0)
@@ -207,7 +209,7 @@
 
 
 class SkewedClock(clock.SystemClock):
-    """A wall clock that goes ahead."""
+    """A clock whose wall time is ahead."""
 
     def __init__(self, ahead_s):
         self._ahead_s = ahead_s
@@ -216,8 +218,8 @@
         return super().wall() + self._ahead_s
 
 
-def test_records_of_a_restart_whose_clock_fell_back_are_not_closed():
-    """Peers judge an owner by the incarnation that membership tells them."""
+def test_records_of_an_instance_restarted_with_an_earlier_clock_stay_open():
+    """Peers decide by the incarnation from membership if an owner is gone."""
     peer = application.Application(
         make_config(instance=PEER), clock.SystemClock()
     )
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The thread-safe front: every future gets exactly one decision."""
+"""The scheduler resolves every future with exactly one decision."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -22,16 +22,16 @@
 _Reason = admission_messages.RefusalReason
 
 
-class Rig:
+class Harness:
     def __init__(self) -> None:
         self.clock = clock.ManualClock()
         self.timers = timers.Timers(self.clock)
-        self.front = scheduler.Scheduler(
+        self.scheduler = scheduler.Scheduler(
             "entry-0", self.clock, random.Random(1), self.timers, waiting=4
         )
 
     def start(self) -> None:
-        self.front.start()
+        self.scheduler.start()
         endpoint = model.EndpointSettings(
             address="10.0.0.1:80",
             data_centre="a",
@@ -41,11 +41,11 @@
         root = model.RootSettings(endpoints={"runner-0": endpoint})
         tree = model.Tree(root=root)
         event = settings_messages.TreeInForce(tree, snapshot.Snapshot(tree))
-        self.front.report(event)
+        self.scheduler.report(event)
 
     def submit(self, name: str) -> scheduler.Pending:
         now = self.clock.monotonic()
-        return self.front.submit(
+        return self.scheduler.submit(
             admission_messages.Ask(
                 request=name,
                 team="linework",
@@ -61,20 +61,20 @@
         )
 
     def settle(self) -> None:
-        """Returns once the actor has taken all that was sent to it."""
-        self.front.ask_again(
+        """Waits until the actor has handled all messages sent to it."""
+        self.scheduler.ask_again(
             messages.AskAgain(
-                request="nobody", reason=messages.RetryReason.NEVER_SENT
+                request="unknown", reason=messages.RetryReason.NEVER_SENT
             )
         ).result(WAIT_S)
 
 
 @pytest.fixture
-def rig() -> Iterator[Rig]:
-    started = Rig()
+def harness() -> Iterator[Harness]:
+    started = Harness()
     started.start()
     yield started
-    started.front.stop()
+    started.scheduler.stop()
 
 
 def read_reason(pending: scheduler.Pending) -> _Reason:
@@ -83,15 +83,15 @@
     return decision.reason
 
 
-def test_slots_are_granted_and_pass_on_to_who_waits(rig: Rig) -> None:
-    first = rig.submit("a").result(WAIT_S)
+def test_freed_slot_goes_to_a_waiting_request(harness: Harness) -> None:
+    first = harness.submit("a").result(WAIT_S)
     assert isinstance(first, messages.Grant)
     assert first.address == "10.0.0.1:80"
-    rig.submit("b").result(WAIT_S)
-    waiting = rig.submit("c")
-    rig.settle()
+    harness.submit("b").result(WAIT_S)
+    waiting = harness.submit("c")
+    harness.settle()
     assert not waiting.done()
-    rig.front.report(
+    harness.scheduler.report(
         messages.AttemptEnded(
             attempt=first.attempt,
             how=messages.AttemptEnd.FINISHED,
@@ -102,25 +102,25 @@
     assert isinstance(waiting.result(WAIT_S), messages.Grant)
 
 
-def test_stop_refuses_what_waits_and_what_comes_after(rig: Rig) -> None:
+def test_stop_refuses_waiting_and_later_requests(harness: Harness) -> None:
     for name in ("a", "b"):
-        rig.submit(name).result(WAIT_S)
-    waiting = rig.submit("c")
-    rig.front.stop()
+        harness.submit(name).result(WAIT_S)
+    waiting = harness.submit("c")
+    harness.scheduler.stop()
     assert read_reason(waiting) is _Reason.STOPPING
-    assert read_reason(rig.submit("d")) is _Reason.STOPPING
-    rig.front.report(messages.RequestClosed(request="a"))
+    assert read_reason(harness.submit("d")) is _Reason.STOPPING
+    harness.scheduler.report(messages.RequestClosed(request="a"))
 
 
-def test_drain_refuses_new_requests_and_serves_those_that_wait(
-    rig: Rig,
+def test_drain_refuses_new_requests_and_serves_waiting_ones(
+    harness: Harness,
 ) -> None:
-    grants = [rig.submit(name).result(WAIT_S) for name in ("a", "b")]
-    waiting = rig.submit("c")
-    rig.front.drain()
-    assert read_reason(rig.submit("d")) is _Reason.STOPPING
+    grants = [harness.submit(name).result(WAIT_S) for name in ("a", "b")]
+    waiting = harness.submit("c")
+    harness.scheduler.drain()
+    assert read_reason(harness.submit("d")) is _Reason.STOPPING
     assert isinstance(grants[0], messages.Grant)
-    rig.front.report(
+    harness.scheduler.report(
         messages.AttemptEnded(
             attempt=grants[0].attempt,
             how=messages.AttemptEnd.CANCELLED,
@@ -131,44 +131,44 @@
     assert isinstance(waiting.result(WAIT_S), messages.Grant)
 
 
-def test_wait_ends_when_the_clock_says_so(rig: Rig) -> None:
+def test_waiting_request_expires(harness: Harness) -> None:
     for name in ("a", "b"):
-        rig.submit(name).result(WAIT_S)
-    waiting = rig.submit("c")
-    rig.settle()
-    rig.clock.advance(31.0)
-    rig.timers.run_due()
+        harness.submit(name).result(WAIT_S)
+    waiting = harness.submit("c")
+    harness.settle()
+    harness.clock.advance(31.0)
+    harness.timers.run_due()
     assert read_reason(waiting) is _Reason.WAITED_TOO_LONG
 
 
-def test_unknown_event_does_not_end_the_actor(rig: Rig) -> None:
-    rig.front.report(object())
-    assert isinstance(rig.submit("a").result(WAIT_S), messages.Grant)
+def test_unknown_event_does_not_end_the_actor(harness: Harness) -> None:
+    harness.scheduler.report(object())
+    assert isinstance(harness.submit("a").result(WAIT_S), messages.Grant)
 
 
-def test_pressure_and_counters_show_after_a_tick(rig: Rig) -> None:
+def test_tick_publishes_pressure_and_counters(harness: Harness) -> None:
     for name in ("a", "b", "c"):
-        rig.submit(name)
-    rig.settle()
-    rig.clock.advance(0.1)
-    rig.timers.run_due()
-    rig.settle()
-    pressure = rig.front.read_pressure()
+        harness.submit(name)
+    harness.settle()
+    harness.clock.advance(0.1)
+    harness.timers.run_due()
+    harness.settle()
+    pressure = harness.scheduler.read_pressure()
     [held] = pressure.occupancies
     [demand] = pressure.demands
     assert (held.endpoint, held.tier, held.in_flight) == ("runner-0", 3, 2)
     assert (demand.model, demand.tier, demand.waiting) == ("lines", 3, 1)
-    assert rig.front.read_counters().attempts == 2
+    assert harness.scheduler.read_counters().attempts == 2
 
 
-def test_many_threads_get_one_decision_each(rig: Rig) -> None:
-    decided: list[object] = []
+def test_many_threads_get_one_decision_each(harness: Harness) -> None:
+    decisions: list[object] = []
     lock = threading.Lock()
 
     def ask(n: int) -> None:
-        decision = rig.submit(f"q{n}").result(WAIT_S)
+        decision = harness.submit(f"q{n}").result(WAIT_S)
         if isinstance(decision, messages.Grant):
-            rig.front.report(
+            harness.scheduler.report(
                 messages.AttemptEnded(
                     attempt=decision.attempt,
                     how=messages.AttemptEnd.FINISHED,
@@ -176,15 +176,15 @@
                     at=0.5,
                 )
             )
-        rig.front.report(messages.RequestClosed(request=f"q{n}"))
+        harness.scheduler.report(messages.RequestClosed(request=f"q{n}"))
         with lock:
-            decided.append(decision)
+            decisions.append(decision)
 
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         list(pool.map(ask, range(200)))
-    rig.settle()
-    rig.clock.advance(0.1)
-    rig.timers.run_due()
-    rig.settle()
-    assert len(decided) == 200
-    assert rig.front.read_pressure().occupancies == ()
+    harness.settle()
+    harness.clock.advance(0.1)
+    harness.timers.run_due()
+    harness.settle()
+    assert len(decisions) == 200
+    assert harness.scheduler.read_pressure().occupancies == ()
--- a/tests/test_slices.py
+++ b/tests/test_slices.py
@@ -1,12 +1,12 @@
-"""A slice knows of another only what that one shows."""
+"""Packages import only the public modules of other packages."""
 
 import pathlib
 import re
 
 import pytest
 
-PACKAGE = pathlib.Path(__file__).parent.parent / "pollenfork"
-SLICES = (
+SOURCE_DIR = pathlib.Path(__file__).parent.parent / "pollenfork"
+PACKAGES = (
     "admission",
     "answers",
     "dispatch",
@@ -18,20 +18,20 @@
     "store",
     "settings",
 )
-SHOWN = {"messages", "edges", "errors", "model", "snapshot", "state"}
-FRONTS = {("answers", "session"), ("ledger", "keys")}
+PUBLIC_MODULES = {"messages", "edges", "errors", "model", "snapshot", "state"}
+PUBLIC_EXCEPTIONS = {("answers", "session"), ("ledger", "keys")}
 IMPORT = re.compile(r"^from pollenfork\.(\w+) import (\w+)", re.MULTILINE)
 
 
-@pytest.mark.parametrize("name", SLICES)
-def test_slice_imports_only_what_others_show(name: str) -> None:
-    hidden = [
+@pytest.mark.parametrize("name", PACKAGES)
+def test_slice_imports_only_public_modules_of_others(name: str) -> None:
+    violations = [
         (path.name, other, module)
-        for path in (PACKAGE / name).glob("*.py")
+        for path in (SOURCE_DIR / name).glob("*.py")
         for other, module in IMPORT.findall(path.read_text())
-        if other in SLICES
+        if other in PACKAGES
         and other != name
-        and module not in SHOWN
-        and (other, module) not in FRONTS
+        and module not in PUBLIC_MODULES
+        and (other, module) not in PUBLIC_EXCEPTIONS
     ]
-    assert not hidden
+    assert not violations
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -1,4 +1,4 @@
-"""Periodic calls by a clock that the test advances."""
+"""Periodic calls on a clock that the test advances."""
 
 import threading
 
@@ -8,7 +8,7 @@
 from pollenfork import timers
 
 
-class Calls:
+class Harness:
     def __init__(self) -> None:
         self.clock = clock.ManualClock()
         self.timers = timers.Timers(self.clock)
@@ -24,30 +24,28 @@
         return self.made
 
 
-def test_calls_come_in_the_order_of_their_times() -> None:
-    calls = Calls()
-    calls.add("slow", 2.0, first_s=2.0)
-    calls.add("quick", 1.0, first_s=1.0)
-    assert calls.run(1.0, 1.0) == ["quick", "slow", "quick"]
+def test_calls_run_in_the_order_of_their_due_times() -> None:
+    harness = Harness()
+    harness.add("slow", 2.0, first_s=2.0)
+    harness.add("quick", 1.0, first_s=1.0)
+    assert harness.run(1.0, 1.0) == ["quick", "slow", "quick"]
 
 
 @pytest.mark.parametrize(("late_s", "made"), [(1.0, 1), (9.5, 1)])
-def test_late_call_skips_the_periods_that_it_missed(
-    late_s: float, made: int
-) -> None:
-    calls = Calls()
-    calls.add("call", 1.0, first_s=1.0)
-    assert len(calls.run(late_s)) == made
+def test_late_call_skips_missed_periods(late_s: float, made: int) -> None:
+    harness = Harness()
+    harness.add("call", 1.0, first_s=1.0)
+    assert len(harness.run(late_s)) == made
 
 
-def test_fault_in_a_call_stops_no_other() -> None:
-    calls = Calls()
-    calls.timers.every(1.0, lambda: 1 // 0)
-    calls.add("other", 1.0)
-    assert calls.run(1.0) == ["other"]
+def test_exception_in_a_call_does_not_stop_others() -> None:
+    harness = Harness()
+    harness.timers.every(1.0, lambda: 1 // 0)
+    harness.add("other", 1.0)
+    assert harness.run(1.0) == ["other"]
 
 
-def test_thread_makes_a_call_that_is_added_while_it_waits() -> None:
+def test_thread_runs_a_call_added_while_it_waits() -> None:
     made = threading.Event()
     running = timers.Timers(clock.SystemClock())
     running.start()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""What operators see, over a whole site."""
+"""The operator API's views of a complete site."""
 
 from collections.abc import Iterator
 import threading
@@ -32,19 +32,19 @@
     return urllib3.request("GET", url, headers=headers).json()
 
 
-def wait_for(condition: object) -> None:
+def wait_until(condition: object) -> None:
     assert callable(condition)
-    end = time.monotonic() + LIMIT_S
+    deadline = time.monotonic() + LIMIT_S
     while not condition():
-        assert time.monotonic() < end
+        assert time.monotonic() < deadline
         threading.Event().wait(0.05)
 
 
-def test_status_shows_every_instance_at_each(site: sites.Site) -> None:
+def test_each_instance_lists_all_instances(site: sites.Site) -> None:
     first = site.start_entry("entry-1")
     site.start_entry("entry-2", peers=(first.membership.address,))
 
-    def see(index: int) -> list[tuple[str, int]]:
+    def read_live(index: int) -> list[tuple[str, int]]:
         status = read(site, index, "status")
         return sorted(
             (each["instance"], each["revision"])
@@ -52,19 +52,19 @@
             if each["state"] == "live"
         )
 
-    both = [("entry-1", 1), ("entry-2", 1)]
-    wait_for(lambda: see(0) == both and see(1) == both)
+    expected = [("entry-1", 1), ("entry-2", 1)]
+    wait_until(lambda: read_live(0) == expected and read_live(1) == expected)
 
 
 def test_endpoints_show_their_reports_and_a_drain(site: sites.Site) -> None:
     entry = site.start_entry()
 
-    def see() -> dict[str, object]:
+    def read_live() -> dict[str, object]:
         return read(site, 0, "endpoints")["endpoints"][0]["live"] or {}
 
-    wait_for(lambda: see().get("state") == "live")
-    wait_for(lambda: see().get("report_age_s") is not None)
+    wait_until(lambda: read_live().get("state") == "live")
+    wait_until(lambda: read_live().get("report_age_s") is not None)
     url = f"http://{entry.address}/operator/endpoints/runner-0/drain"
     headers = {"Authorization": f"Bearer {sites.OPERATOR}"}
     assert urllib3.request("POST", url, headers=headers).status < 300
-    wait_for(lambda: see().get("state") == "leaving")
+    wait_until(lambda: read_live().get("state") == "leaving")
