--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Test settings shared by every slice: no randomness between runs."""
+"""Pytest configuration: derandomizes Hypothesis and marks known failures."""
 
 import pathlib
 
@@ -18,16 +18,16 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Passes over the tests that are listed as red, with their cause."""
+    """Marks the tests listed in KNOWN-RED.txt as expected failures."""
     if not _KNOWN_RED.exists():
         return
     lines = _KNOWN_RED.read_text().splitlines()
-    known = dict(
+    causes = dict(
         line.split(", ", 1)
         for line in lines
         if line and not line.startswith("#")
     )
     for item in items:
-        if item.nodeid in known:
-            reason = f"known red: {known[item.nodeid]}"
+        if item.nodeid in causes:
+            reason = f"known red: {causes[item.nodeid]}"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
