--- a/pollenfork/peers.py
+++ b/pollenfork/peers.py
@@ -109,7 +109,7 @@
                 self._record_ended(event)
             case messages.PressureHeard(pressure=pressure):
                 self._scheduler.report(pressure)
-                self._endpoints.hear_peer_leaving(
+                self._endpoints.receive_peer_leaving(
                     pressure.leaving, pressure.instance
                 )
             case messages.PeerRevision():
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -39,7 +39,7 @@
     for number in (1, 2):
         relay_counters.count(relay_counters.cancels, "caller_gone")
         relay_counters.count(relay_counters.resumes, "closed")
-        relay_counters.add_answer(finished=True, tokens=20, repeats=3)
+        relay_counters.add_answer(finished=True, tokens=20, duplicates=3)
         source.counters.refusals = {"queue_full": 5 * number}
         source.counters.attempts = 7 * number
         server_counters.full += 1
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -50,7 +50,7 @@
             types.SimpleNamespace(report=self.scheduler.append),
             types.SimpleNamespace(report=self.settings.append),
             types.SimpleNamespace(
-                hear_peer_leaving=lambda *args: self.endpoints.append(args)
+                receive_peer_leaving=lambda *args: self.endpoints.append(args)
             ),
         )
 
