--- a/pollenfork/fleet/evidence.py
+++ b/pollenfork/fleet/evidence.py
@@ -18,8 +18,8 @@
 
 _LOG = logging.getLogger(__name__)
 
-# How long other runners are preferred after another instance found a runner
-# unreachable, in seconds. The next instance to try it tells all again, so this
+# How long other runners are preferred after another instance reported a runner
+# unreachable, in seconds. The next instance to try it reports it again, so this
 # costs a few sends per second whatever the number of instances, and a runner
 # that recovers soon gets work again.
 _AVOID_S = 0.8
@@ -27,11 +27,11 @@
 # time, in seconds: a lost packet makes one connection fail, rarely two to the
 # same runner.
 _AGREEMENT_S = 1.0
-_WITNESSES = 2
+_MIN_REPORTS = 2
 # The maximum number of own findings waiting to be sent, which is also what is
-# kept if there is no peer to send them to. A busy instance makes a few per
-# second while runners are down.
-_MAX_FOUND = 200
+# kept if there is no peer to send them to. A busy instance has a few per second
+# while runners are down.
+_MAX_UNSENT = 200
 
 Symptom = messages.Symptom
 
@@ -55,11 +55,11 @@
         self._runners = runners
         self._get_state = get_state
         self._data_centre = data_centre
-        self._found: collections.deque[messages.Finding] = collections.deque(
-            maxlen=_MAX_FOUND
+        self._unsent: collections.deque[messages.Finding] = collections.deque(
+            maxlen=_MAX_UNSENT
         )
         # Reports of connection timeouts and their times, by runner hash.
-        self._silent: dict[int, dict[messages.Finding, float]] = {}
+        self._timeouts: dict[int, dict[messages.Finding, float]] = {}
         self.counts: collections.Counter[Symptom] = collections.Counter()
         self._on_ended: list[Callable[[int, bool], None]] = []
 
@@ -72,25 +72,25 @@
         """
         self._on_ended.append(call)
 
-    def record(self, runner: model.Runner, sign: Symptom) -> None:
+    def record(self, runner: model.Runner, symptom: Symptom) -> None:
         """Records a finding of this instance."""
         runner_hash = hash_runner(runner)
-        self._found.append(messages.Finding(runner_hash, sign))
-        self._notify_ended(runner_hash, sign, local=True)
-        if sign is Symptom.DISPLACED:
+        self._unsent.append(messages.Finding(runner_hash, symptom))
+        self._notify_ended(runner_hash, symptom, local=True)
+        if symptom is Symptom.DISPLACED:
             self._get_state(runner.id).displaced_from = runner.address
 
     def take_findings(self) -> list[messages.Finding]:
         """Returns this instance's findings since the last call."""
-        found = list(self._found)
-        self._found.clear()
-        return found
+        findings = list(self._unsent)
+        self._unsent.clear()
+        return findings
 
     def receive(self, finding: messages.Finding, now: float) -> None:
         """Applies a finding of another instance.
 
         Args:
-            finding: What was found, and how long ago.
+            finding: What the other instance observed, and how long ago.
             now: Monotonic seconds.
         """
         self._notify_ended(finding.runner_hash, finding.symptom, local=False)
@@ -120,39 +120,39 @@
         )
 
     def _notify_ended(
-        self, runner_hash: int, sign: Symptom, local: bool
+        self, runner_hash: int, symptom: Symptom, local: bool
     ) -> None:
-        if sign is not Symptom.SILENT:
+        if symptom is not Symptom.SILENT:
             for call in self._on_ended:
                 call(runner_hash, local)
 
     def _is_corroborated(self, finding: messages.Finding, now: float) -> bool:
         """Returns whether a timeout is due to the runner, not a network path.
 
-        Two witnesses in this data centre suffice, as they share this instance's
+        Two reporters in this data centre suffice, as they share this instance's
         network paths. Otherwise two data centres must agree, so that a single
         partitioned one isn't believed.
         """
         self._drop_expired(now)
-        witnesses = self._silent.setdefault(finding.runner_hash, {})
-        for known in [
-            each for each in witnesses if each.observer == finding.observer
+        reports = self._timeouts.setdefault(finding.runner_hash, {})
+        for earlier in [
+            each for each in reports if each.observer == finding.observer
         ]:
-            del witnesses[known]
-        witnesses[finding] = now - finding.age_s
-        near = [
-            each for each in witnesses if each.data_centre == self._data_centre
+            del reports[earlier]
+        reports[finding] = now - finding.age_s
+        local = [
+            each for each in reports if each.data_centre == self._data_centre
         ]
-        centres = {each.data_centre for each in witnesses}
-        return len(near) >= _WITNESSES or len(centres) >= _WITNESSES
+        data_centres = {each.data_centre for each in reports}
+        return len(local) >= _MIN_REPORTS or len(data_centres) >= _MIN_REPORTS
 
     def _drop_expired(self, now: float) -> None:
-        for runner_hash, witnesses in list(self._silent.items()):
-            for known, at in list(witnesses.items()):
+        for runner_hash, reports in list(self._timeouts.items()):
+            for report, at in list(reports.items()):
                 if now - at > _AGREEMENT_S:
-                    del witnesses[known]
-            if not witnesses:
-                del self._silent[runner_hash]
+                    del reports[report]
+            if not reports:
+                del self._timeouts[runner_hash]
 
     def _find_runner(self, runner_hash: int) -> model.Runner | None:
         for runner in self._runners.list_all():
--- a/pollenfork/fleet/tests/test_evidence.py
+++ b/pollenfork/fleet/tests/test_evidence.py
@@ -16,8 +16,8 @@
 from pollenfork.loads import members
 from pollenfork.loads import messages as loads
 
-Sign = loads.Symptom
-HERE = ids.DataCentre("a")
+Symptom = loads.Symptom
+LOCAL = ids.DataCentre("a")
 SERVICE = ids.ServiceName("s")
 NOW = 100.0
 # Expiry of a dead runner's entry: three heartbeats of 1.2 s.
@@ -37,13 +37,15 @@
             self.runners.put(test_registry.make_runner(f"r{number}"))
         self.chooser = choice.Chooser(self.runners, random.Random(1))
         self.evidence = evidence.Evidence(
-            self.runners, self.chooser.get_state, HERE
+            self.runners, self.chooser.get_state, LOCAL
         )
 
-    def hear(self, sign, name="r1", centre="a", witness=1, age_s=0.1) -> None:
+    def receive(
+        self, symptom, name="r1", centre="a", observer=1, age_s=0.1
+    ) -> None:
         runner = self.runners.find(ids.EndpointId(name))
         runner_hash = evidence.hash_runner(runner)
-        finding = loads.Finding(runner_hash, sign, age_s, centre, witness)
+        finding = loads.Finding(runner_hash, symptom, age_s, centre, observer)
         self.evidence.receive(finding, NOW)
 
     def choose(self, now: float = NOW, count: int = 60) -> set[str]:
@@ -64,28 +66,28 @@
 
 
 def test_a_displaced_runner_is_never_chosen_again(bench) -> None:
-    bench.hear(Sign.DISPLACED)
+    bench.receive(Symptom.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
 
 
 def test_an_own_finding_applies_locally_and_is_sent_once(bench) -> None:
     runner = bench.runners.find(ids.EndpointId("r1"))
-    bench.evidence.record(runner, Sign.DISPLACED)
+    bench.evidence.record(runner, Symptom.DISPLACED)
     assert bench.choose(NOW + 60.0) == {"r0", "r2"}
     assert [each.symptom for each in bench.evidence.take_findings()] == [
-        Sign.DISPLACED
+        Symptom.DISPLACED
     ]
     assert bench.evidence.take_findings() == []
 
 
 def test_a_finding_does_not_apply_to_a_runner_that_has_moved(bench) -> None:
-    bench.hear(Sign.DISPLACED)
+    bench.receive(Symptom.DISPLACED)
     bench.runners.put(test_registry.make_runner("r1", port=99))
     assert "r1" in bench.choose()
 
 
 def test_a_finding_does_not_apply_to_a_later_incarnation(bench) -> None:
-    bench.hear(Sign.DISPLACED)
+    bench.receive(Symptom.DISPLACED)
     bench.runners.put(test_registry.make_runner("r1", start=9))
     assert "r1" in bench.choose()
 
@@ -93,20 +95,20 @@
 def test_a_runner_that_refuses_connections_is_avoided_for_a_moment(
     bench,
 ) -> None:
-    bench.hear(Sign.REFUSED)
+    bench.receive(Symptom.REFUSED)
     assert bench.choose(NOW) == {"r0", "r2"}
     assert "r1" in bench.choose(NOW + 1.0)
 
 
 def test_runners_are_still_tried_if_all_seem_dead(bench) -> None:
     for number in range(3):
-        bench.hear(Sign.DISPLACED, f"r{number}")
-        bench.hear(Sign.REFUSED, f"r{number}")
+        bench.receive(Symptom.DISPLACED, f"r{number}")
+        bench.receive(Symptom.REFUSED, f"r{number}")
     assert bench.choose() == {"r0", "r1", "r2"}
 
 
 @pytest.mark.parametrize(
-    ("reports", "believed"),
+    ("reports", "avoided"),
     [
         ([("a", 1)], False),
         ([("a", 1), ("a", 1)], False),
@@ -116,16 +118,16 @@
         ([("b", 1), ("a", 2)], True),
     ],
 )
-def test_a_timeout_needs_two_local_witnesses_or_two_data_centres(
-    bench, reports, believed
+def test_a_timeout_needs_two_local_reports_or_two_data_centres(
+    bench, reports, avoided
 ) -> None:
-    for centre, witness in reports:
-        bench.hear(Sign.SILENT, centre=centre, witness=witness)
-    assert (bench.choose(NOW) == {"r0", "r2"}) is believed
+    for centre, observer in reports:
+        bench.receive(Symptom.SILENT, centre=centre, observer=observer)
+    assert (bench.choose(NOW) == {"r0", "r2"}) is avoided
 
 
 def test_a_finding_about_an_unknown_runner_is_ignored(bench) -> None:
-    finding = loads.Finding(7, Sign.DISPLACED, 0.1, "a", 1)
+    finding = loads.Finding(7, Symptom.DISPLACED, 0.1, "a", 1)
     bench.evidence.receive(finding, NOW)
     assert bench.choose() == {"r0", "r1", "r2"}
 
@@ -133,15 +135,15 @@
 def test_unsent_findings_are_bounded(bench) -> None:
     runner = bench.runners.find(ids.EndpointId("r1"))
     for _ in range(10_000):
-        bench.evidence.record(runner, Sign.REFUSED)
+        bench.evidence.record(runner, Symptom.REFUSED)
     assert len(bench.evidence.take_findings()) <= 200
 
 
 class _LocalInstance:
     """The instance as the peer exchange sees it; only findings matter here."""
 
-    def __init__(self, found: evidence.Evidence) -> None:
-        self._evidence = found
+    def __init__(self, shared: evidence.Evidence) -> None:
+        self._evidence = shared
 
     def read_store_status(self, now: float) -> None:
         return None
@@ -161,7 +163,7 @@
     def list_suspicions(self, now):
         return [loads.Suspicions("")]
 
-    def record_suspicions(self, told, host, now):
+    def record_suspicions(self, suspicions, host, now):
         pass
 
     def record_instance_count(self, count: int) -> None:
@@ -172,19 +174,19 @@
     """One of many instances that send requests to the same runners."""
 
     def __init__(self, number: int, everyone, runners) -> None:
-        known = registry.Registry()
+        registered = registry.Registry()
         for runner in runners:
-            known.put(runner)
-        self.chooser = choice.Chooser(known, random.Random(number))
+            registered.put(runner)
+        self.chooser = choice.Chooser(registered, random.Random(number))
         roster = members.Roster(everyone[number])
         for each in everyone:
             roster.record_sighting(each, 1.0)
         self.evidence = evidence.Evidence(
-            known,
+            registered,
             self.chooser.get_state,
             ids.DataCentre(everyone[number].data_centre),
         )
-        self.rumours = dissemination.Disseminator(
+        self.disseminator = dissemination.Disseminator(
             everyone[number], roster, _LocalInstance(self.evidence)
         )
 
@@ -198,7 +200,7 @@
         if wasted:
             # Only the same request's retries avoid it; other requests don't.
             grant.state.unsent = 0
-            self.evidence.record(grant.runner, Sign.REFUSED)
+            self.evidence.record(grant.runner, Symptom.REFUSED)
         self.chooser.settle(grant)
         return wasted
 
@@ -224,10 +226,10 @@
         sent = [
             (host, message)
             for each in instances
-            for host, message in each.rumours.tick(now)
+            for host, message in each.disseminator.tick(now)
         ]
         for host, message in sent:
-            instances[hosts[host]].rumours.receive(message, "", now)
+            instances[hosts[host]].disseminator.receive(message, "", now)
     return wasted
 
 
