--- a/pollenfork/gateway/accounting.py
+++ b/pollenfork/gateway/accounting.py
@@ -59,14 +59,14 @@
         self.start = rng.getrandbits(32)
         kept = math.ceil(duties.due_s / duties.window_s) + 2
         self.windows = usage.Windows(duties.window_s, kept)
-        self._tallies = usage.UsageCounter(self.windows)
-        self._ledger = usage.UsageAggregator(self.windows)
-        self._time = cluster_clock.ClusterClock(read_wall, loop.time())
+        self._usage = usage.UsageCounter(self.windows)
+        self._aggregator = usage.UsageAggregator(self.windows)
+        self._clock = cluster_clock.ClusterClock(read_wall, loop.time())
         self._unacknowledged: dict[float, tuple[loads.WindowCounts, ...]] = {}
 
     def read_time(self) -> float:
         """Returns the time that instances have agreed on, in Unix seconds."""
-        return self._time.read(self._loop.time())
+        return self._clock.read(self._loop.time())
 
     def measure_lateness(self, window: int) -> float:
         """Returns the seconds since the end of a window."""
@@ -74,25 +74,25 @@
 
     def record_started(self, account: ids.AccountId) -> None:
         """Counts a request that started to run."""
-        self._tallies.record(account, self.read_time())
+        self._usage.record(account, self.read_time())
 
     def sweep(self, now: float) -> None:
         """Drops counts that are too old."""
-        time_now = self._time.read(now)
-        self._tallies.expire(time_now)
-        self._ledger.expire(time_now, now)
+        clock_now = self._clock.read(now)
+        self._usage.expire(clock_now)
+        self._aggregator.expire(clock_now, now)
 
     def record_own_counts(self, now: float) -> None:
         """Agrees on the time and records this instance's own counts.
 
         Called on the duty holder only.
         """
-        self._time.follow_median(now)
-        self._ledger.receive(
+        self._clock.follow_median(now)
+        self._aggregator.receive(
             self._host,
             self.start,
-            self._tallies.list_all(),
-            self._time.read(now),
+            self._usage.list_all(),
+            self._clock.read(now),
             now,
         )
 
@@ -100,34 +100,34 @@
 
     def make_tally(self, holder: str, now: float) -> loads.Tally:
         """Returns the tally to send to the holder."""
-        counted = self._tallies.list_unacknowledged(holder)
+        counted = self._usage.list_unacknowledged(holder)
         self._unacknowledged = {now: counted}
         return loads.Tally(
             self._data_centre,
             self.start,
             counted,
-            self._time.read(now),
+            self._clock.read(now),
             self._read_wall(),
             now,
         )
 
     def receive_tally(self, tally: loads.Tally, host: str, now: float) -> None:
         """Records another instance's counts and its clock."""
-        self._ledger.receive(
+        self._aggregator.receive(
             host, tally.start, tally.counted, tally.through, now
         )
-        self._time.record_clock(host, tally.wall, now)
+        self._clock.record_clock(host, tally.wall, now)
 
     def receive_acknowledgement(
-        self, word: loads.HolderNotice, host: str, now: float
+        self, notice: loads.HolderNotice, host: str, now: float
     ) -> None:
         """Records that a tally has arrived, and the holder's time."""
-        counted = self._unacknowledged.pop(word.echo, None)
+        counted = self._unacknowledged.pop(notice.echo, None)
         if counted is None:
             return
-        self._tallies.record_acknowledged(counted, host, word.start)
-        if word.time:
-            self._time.follow_holder(word.time, word.echo, now)
+        self._usage.record_acknowledged(counted, host, notice.start)
+        if notice.time:
+            self._clock.follow_holder(notice.time, notice.echo, now)
 
     # Sums.
 
@@ -143,8 +143,8 @@
         """
         window = first
         while self._is_complete(window, held_since, now):
-            missing = self._ledger.list_missing_hosts(window, now)
-            counts = self._ledger.total(window)
+            missing = self._aggregator.list_missing_hosts(window, now)
+            counts = self._aggregator.total(window)
             _LOG.info(
                 "event=window_summed window=%d accounts=%d requests=%d "
                 "late_ms=%d missing=%s",
@@ -169,4 +169,4 @@
             return False
         if late_s >= self._due_s * _WAIT_FRACTION:
             return True
-        return not self._ledger.list_missing_hosts(window, now)
+        return not self._aggregator.list_missing_hosts(window, now)
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -178,7 +178,7 @@
             and config.duties.scales
         ):
             service_scaler = scaler.Scaler(
-                self._duty_agent.office, self.known, chooser
+                self._duty_agent.lease, self.known, chooser
             )
             self._duty_agent.when_held(service_scaler.check)
             self._duty_agent.when_answered(service_scaler.record_reply)
--- a/pollenfork/gateway/cache_feed.py
+++ b/pollenfork/gateway/cache_feed.py
@@ -47,7 +47,7 @@
 # knows others.
 _SETTLED_S = 0.5
 
-News = result.Result[fleet_messages.CacheReport, failures.Failure]
+ReportResult = result.Result[fleet_messages.CacheReport, failures.Failure]
 
 
 class CacheFeed:
@@ -57,7 +57,7 @@
         self,
         codec: edges.CacheCodec,
         chooser: choice.Chooser,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         data_centre: ids.DataCentre,
         rng: random.Random,
     ) -> None:
@@ -66,14 +66,14 @@
         Args:
             codec: Decodes and encodes the runners' calls.
             chooser: Receives what the runners cache.
-            known: The runners, and the services that process prompts.
+            state: The runners, and the services that process prompts.
             data_centre: The data centre whose runners are asked.
             rng: Spreads the calls over time.
         """
         self._loop = asyncio.get_running_loop()
         self._codec = codec
         self._chooser = chooser
-        self._known = known
+        self._state = state
         self._data_centre = data_centre
         self._rng = rng
         self._relays_since: float | None = None
@@ -102,13 +102,13 @@
             task.cancel()
 
     def _list_followable(self) -> dict[fleet.Incarnation, fleet.Runner]:
-        if self._known.lookup is None:
+        if self._state.lookup is None:
             return {}
-        services = self._known.lookup.configuration.services
+        services = self._state.lookup.configuration.services
         reading = {name for name, each in services.items() if each.cache_tokens}
         return {
             runner.incarnation: runner
-            for runner in self._known.runners.list_all()
+            for runner in self._state.runners.list_all()
             if runner.data_centre == self._data_centre
             and not runner.leaving
             # Calls to a rate-limited runner would use up requests of callers.
@@ -128,83 +128,83 @@
         pause_s = _FIRST_PAUSE_S
         try:
             while True:
-                heard = await self._ask(calls, runner, after)
-                if isinstance(heard, result.Err):
+                reply = await self._ask(calls, runner, after)
+                if isinstance(reply, result.Err):
                     _LOG.info(
                         "event=cache_news_missing runner=%s detail=%r",
                         runner.id,
-                        heard.err_value.detail,
+                        reply.err_value.detail,
                     )
                     after = None
                     await asyncio.sleep(pause_s * self._rng.uniform(0.8, 1.2))
                     pause_s = min(pause_s * 2, _LONGEST_PAUSE_S)
                     continue
-                news = heard.ok_value
-                if not self._is_current_start(runner, news):
+                report = reply.ok_value
+                if not self._is_current_start(runner, report):
                     after = None
                     await asyncio.sleep(_FIRST_PAUSE_S)
                     continue
-                if after is not None and news.epoch != epoch:
+                if after is not None and report.epoch != epoch:
                     # Its sequence numbers have restarted, so all its changes
                     # are requested again.
                     after = None
                     continue
-                epoch = news.epoch
-                changed = self._chooser.apply_cache_report(runner.id, news)
-                if news.complete:
+                epoch = report.epoch
+                changed = self._chooser.apply_cache_report(runner.id, report)
+                if report.complete:
                     _LOG.info(
                         "event=cache_known runner=%s parts=%d changed=%d",
                         runner.id,
-                        len(news.changes),
+                        len(report.changes),
                         changed,
                     )
-                after = news.last_sequence
+                after = report.last_sequence
                 pause_s = _FIRST_PAUSE_S
                 await asyncio.sleep(self._rest_s * self._rng.uniform(0.8, 1.2))
         finally:
             calls.close()
 
     def _is_current_start(
-        self, runner: fleet.Runner, news: fleet_messages.CacheReport
+        self, runner: fleet.Runner, report: fleet_messages.CacheReport
     ) -> bool:
         """Returns whether an answer is of the start that is followed.
 
         A later start that the runner's entry doesn't show yet is recorded, and
         spreads to all instances from here.
         """
-        if news.start is None or news.start == runner.start:
+        if report.start is None or report.start == runner.start:
             return True
-        arrival = self._known.runners.record_start(runner.id, news.start)
+        arrival = self._state.runners.record_start(runner.id, report.start)
         if arrival is registry.PutResult.RESTARTED:
             _LOG.info(
                 "event=runner_restarted runner=%s start=%d before=%s",
                 runner.id,
-                news.start,
+                report.start,
                 runner.start,
             )
         return runner.start is None
 
     async def _ask(
         self, calls: client.Client, runner: fleet.Runner, after: int | None
-    ) -> News:
+    ) -> ReportResult:
         """Returns the changes after one, or all cached parts if it is None."""
         write = self._codec.encode_feed_request
         request = write(runner, after or 0, _WAIT_S)
         answer = await calls.call(request, _WAIT_S + _SLACK_S)
         if answer is None:
             return result.Err(NoAnswer(detail="no answer"))
-        heard = self._codec.decode_feed(*answer)
-        if isinstance(heard, result.Err):
-            return heard
-        if heard.ok_value.gap:
+        reply = self._codec.decode_feed(*answer)
+        if isinstance(reply, result.Err):
+            return reply
+        if reply.ok_value.gap:
             return await self._ask_all(calls, runner)
         if after is None:
-            return result.Ok(_collapse_changes(heard.ok_value))
-        return heard
+            return result.Ok(_collapse_changes(reply.ok_value))
+        return reply
 
     async def _ask_all(
         self, calls: client.Client, runner: fleet.Runner
-    ) -> News:
+    ) -> ReportResult:
         request = self._codec.encode_list_request(runner)
         answer = await calls.call(request, _SLACK_S)
         if answer is None:
@@ -217,14 +217,14 @@
 
 
 def _collapse_changes(
-    news: fleet_messages.CacheReport,
+    report: fleet_messages.CacheReport,
 ) -> fleet_messages.CacheReport:
     """Returns the parts cached after all changes since the runner's start."""
     kept: dict[bytes, None] = {}
-    for change in news.changes:
+    for change in report.changes:
         if change.kept:
             kept[change.part] = None
         else:
             kept.pop(change.part, None)
     changes = tuple(fleet_messages.CacheChange(part, True) for part in kept)
-    return msgspec.structs.replace(news, changes=changes, complete=True)
+    return msgspec.structs.replace(report, changes=changes, complete=True)
--- a/pollenfork/gateway/cluster_state.py
+++ b/pollenfork/gateway/cluster_state.py
@@ -61,7 +61,7 @@
         self.freshness = freshness.Freshness(revocation_s)
         self.runners = registry.Registry()
         self.has_runners = False
-        self._proof_at: float | None = None
+        self._status_at: float | None = None
         self.configuration_versions = version_tracker.VersionTracker()
         self.runners_versions = version_tracker.VersionTracker()
 
@@ -81,7 +81,7 @@
         self.runners.keep_removed_until(until)
         _LOG.info("event=outage_over kept_for_ms=%d", (until - moment) * 1000)
 
-    def write_proof(self, now: float) -> messages.StoreStatus | None:
+    def make_store_status(self, now: float) -> messages.StoreStatus | None:
         """Returns the versions known here and the age of their proof.
 
         The proof may originate from another instance. Each instance that
@@ -98,30 +98,32 @@
             self._outages.read_age(now),
         )
 
-    def take_proof(
-        self, proof: messages.StoreStatus, moment: float, sender: str
+    def record_store_status(
+        self, status: messages.StoreStatus, moment: float, sender: str
     ) -> None:
         """Records which versions a relay has read and proven current.
 
         Args:
-            proof: The versions.
+            status: The versions.
             moment: The time up to which they were proven to be current, in
                 monotonic seconds of this process.
             sender: The relay's host.
         """
-        self.take_versions(proof, sender)
+        self.record_store_versions(status, sender)
         self.record_store_answer(moment)
-        if self._proof_at is None or moment > self._proof_at:
-            self._proof_at = moment
-        if proof.configuration <= self.configuration_versions.through:
+        if self._status_at is None or moment > self._status_at:
+            self._status_at = moment
+        if status.configuration <= self.configuration_versions.through:
             self.freshness.vouch(moment)
 
-    def take_versions(self, proof: messages.StoreStatus, sender: str) -> None:
+    def record_store_versions(
+        self, status: messages.StoreStatus, sender: str
+    ) -> None:
         """Records which versions another instance has read, at any time."""
         self.configuration_versions.record_announced(
-            proof.configuration, sender
+            status.configuration, sender
         )
-        self.runners_versions.record_announced(proof.runners, sender)
+        self.runners_versions.record_announced(status.runners, sender)
 
     def pass_over(self, sender: str) -> None:
         """Skips an instance that doesn't answer."""
@@ -137,7 +139,7 @@
         return self._is_proof_within(self._PEER_PROOF_LIMIT_S, now)
 
     def _is_proof_within(self, limit_s: float, now: float) -> bool:
-        at = self._proof_at
+        at = self._status_at
         return at is not None and now - at < limit_s
 
     def take_configuration(self, changes: catalogue.Changes) -> None:
--- a/pollenfork/gateway/duty_agent.py
+++ b/pollenfork/gateway/duty_agent.py
@@ -69,7 +69,7 @@
 
     Attributes:
         accounts: Counts of requests that started to run.
-        office: The state of the lease and of the duties.
+        lease: The state of the lease and of the duties.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
             order_s=platform_calls.ORDER_S,
             margin_s=_MARGIN_S,
         )
-        self.office = duty_lease.DutyLease(
+        self.lease = duty_lease.DutyLease(
             config.instance,
             self._host,
             limits,
@@ -119,7 +119,7 @@
         now = loop.time()
         self._peers: Peers | None = None
         self._holder = ""
-        self._holder_heard_at = self._holder_since = now
+        self._holder_contact_at = self._holder_since = now
         self._next_tally_at = now
         self._rows = duty_rows.DutyRows(config.store, store)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -140,7 +140,7 @@
 
     def show(self, output: "metrics.Metrics") -> None:
         """Exports the metrics of the duties."""
-        output.set_count("pollenfork_duty_claims_total", self.office.claims)
+        output.set_count("pollenfork_duty_claims_total", self.lease.claims)
         self._calls.show(output)
 
     def receive(
@@ -150,7 +150,7 @@
         now = self._loop.time()
         if isinstance(message, loads.HolderNotice):
             self.accounts.receive_acknowledgement(message, host, now)
-            self._receive_holder_word(message, host, now)
+            self._receive_holder_notice(message, host, now)
             return
         self.accounts.receive_tally(message, host, now)
         self._acknowledge(message, host, now)
@@ -169,11 +169,11 @@
     def tick(self, now: float) -> None:
         """Does all work that is due; called ten times a second."""
         self.accounts.sweep(now)
-        if self.office.holds(now):
+        if self.lease.holds(now):
             self._perform_duties(now)
         elif self._holder == self._host:
             self._holder = ""
-        step = self.office.next_store_call(now, self._is_candidate_due(now))
+        step = self.lease.next_store_call(now, self._is_candidate_due(now))
         if step is not None:
             self._spawn(self._execute_step(step))
         self._send_tally(now)
@@ -184,22 +184,22 @@
             self._holder = self._host
             self._holder_since = now
             self._announce(self._list_candidates())
-        self._holder_heard_at = now
+        self._holder_contact_at = now
         self.accounts.record_own_counts(now)
         if self._duties.reports:
-            first = self.office.next_window
+            first = self.lease.next_window
             for each in self.accounts.sum_up(first, self._holder_since, now):
-                self.office.work_queue.add_report(each)
+                self.lease.work_queue.add_report(each)
         for on_held in self._on_held:
             on_held(now)
-        self._calls.begin(self.office.next_report(now), self._record_reply)
-        self._calls.begin(self.office.next_order(now), self._record_reply)
+        self._calls.begin(self.lease.next_report(now), self._record_reply)
+        self._calls.begin(self.lease.next_order(now), self._record_reply)
 
     def _record_reply(
         self, task: messages.PlatformCall, reply: messages.Reply
     ) -> None:
         now = self._loop.time()
-        self.office.work_queue.handle_reply(task.work, reply, now)
+        self.lease.work_queue.handle_reply(task.work, reply, now)
         for on_reply in self._on_reply:
             on_reply(task, reply, now)
 
@@ -207,19 +207,19 @@
 
     def _is_candidate_due(self, now: float) -> bool:
         """Returns whether this instance should try to become the holder."""
-        unheard_s = now - self._holder_heard_at
-        if unheard_s < _HOLDER_TIMEOUT_S:
+        silence_s = now - self._holder_contact_at
+        if silence_s < _HOLDER_TIMEOUT_S:
             return False
         candidates = self._list_candidates()
         rank = candidates.index(self._host) if self._host in candidates else 0
-        return unheard_s >= _HOLDER_TIMEOUT_S + rank * _RANK_DELAY_S
+        return silence_s >= _HOLDER_TIMEOUT_S + rank * _RANK_DELAY_S
 
     def _list_candidates(self) -> list[str]:
         return [] if self._peers is None else self._peers.list_candidates()
 
     def _find_holder(self, now: float) -> str:
         """Returns the holder, or the first candidate if there is none."""
-        if self._holder and now - self._holder_heard_at < _HOLDER_TIMEOUT_S:
+        if self._holder and now - self._holder_contact_at < _HOLDER_TIMEOUT_S:
             return self._holder
         candidates = self._list_candidates()
         return candidates[0] if candidates else self._host
@@ -233,16 +233,16 @@
     async def _read(self) -> None:
         read = await self._rows.read()
         now = self._loop.time()
-        self.office.handle_rows(read, now)
-        holder = self.office.find_holder(now)
+        self.lease.handle_rows(read, now)
+        holder = self.lease.find_holder(now)
         if holder and holder != self._host:
-            # The row may be some seconds old; the holder's answer will tell.
+            # The row may be some seconds old; the holder's answer corrects it.
             self._holder = holder
             self._send_tally_to(holder, now)
 
     async def _write(self, step: messages.Write) -> None:
         written = await self._rows.write(step)
-        self.office.handle_commit(written, self._loop.time())
+        self.lease.handle_commit(written, self._loop.time())
 
     # Messages between instances.
 
@@ -256,7 +256,7 @@
         holder = self._find_holder(now)
         if holder != self._host:
             self._send_tally_to(holder, now)
-        elif self.office.holds(now):
+        elif self.lease.holds(now):
             # Other instances ask the first candidates who the holder is.
             self._announce(self._list_candidates()[:_ANNOUNCED_CANDIDATES])
 
@@ -266,14 +266,14 @@
             self._peers.send(holder, self.accounts.make_tally(holder, now))
 
     def _acknowledge(self, tally: loads.Tally, host: str, now: float) -> None:
-        """Acknowledges a tally and tells its sender who the holder is."""
+        """Acknowledges a tally and names the holder to its sender."""
         if self._peers is None:
             return
-        holds = self.office.holds(now) and not self.office.is_store_failing
-        age_s = 0.0 if holds else now - self._holder_heard_at
-        known = self._holder != self._host and age_s < _HOLDER_TIMEOUT_S
-        holder = self._host if holds else self._holder if known else ""
-        word = loads.HolderNotice(
+        holds = self.lease.holds(now) and not self.lease.is_store_failing
+        age_s = 0.0 if holds else now - self._holder_contact_at
+        is_known = self._holder != self._host and age_s < _HOLDER_TIMEOUT_S
+        holder = self._host if holds else self._holder if is_known else ""
+        notice = loads.HolderNotice(
             self._data_centre,
             holder,
             self.accounts.start,
@@ -281,40 +281,40 @@
             tally.sent_at,
             self.accounts.read_time() if holds else 0.0,
         )
-        self._peers.send(host, word)
+        self._peers.send(host, notice)
 
     def _announce(self, hosts: list[str]) -> None:
         """Announces this instance as the holder, or that it can't remain it."""
-        holder = "" if self.office.is_store_failing else self._host
-        word = loads.HolderNotice(
+        holder = "" if self.lease.is_store_failing else self._host
+        notice = loads.HolderNotice(
             self._data_centre, holder, self.accounts.start, 0.0
         )
         for host in hosts:
             if self._peers is not None and host != self._host:
-                self._peers.send(host, word)
+                self._peers.send(host, notice)
 
-    def _receive_holder_word(
-        self, word: loads.HolderNotice, host: str, now: float
+    def _receive_holder_notice(
+        self, notice: loads.HolderNotice, host: str, now: float
     ) -> None:
-        heard_at = now - max(0.0, word.age_s)
-        if self.office.holds(now):
+        contact_at = now - max(0.0, notice.age_s)
+        if self.lease.holds(now):
             return
-        if not word.holder:
+        if not notice.holder:
             if host == self._holder:
                 # It can't renew its lease, so waiting for the lease to expire
                 # starts now.
-                self._holder_heard_at = min(
-                    self._holder_heard_at, now - _HOLDER_TIMEOUT_S
+                self._holder_contact_at = min(
+                    self._holder_contact_at, now - _HOLDER_TIMEOUT_S
                 )
             return
-        if heard_at < self._holder_heard_at and word.holder != host:
+        if contact_at < self._holder_contact_at and notice.holder != host:
             return
-        if word.holder != self._holder:
-            _LOG.info("event=duty_holder_changed holder=%s", word.holder)
+        if notice.holder != self._holder:
+            _LOG.info("event=duty_holder_changed holder=%s", notice.holder)
             delay_s = self._rng.random() * _NEW_HOLDER_SPREAD_S
             self._next_tally_at = min(self._next_tally_at, now + delay_s)
-        self._holder = word.holder
-        self._holder_heard_at = max(heard_at, self._holder_heard_at)
+        self._holder = notice.holder
+        self._holder_contact_at = max(contact_at, self._holder_contact_at)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(work)
--- a/pollenfork/gateway/following.py
+++ b/pollenfork/gateway/following.py
@@ -48,13 +48,13 @@
 
     Attributes:
         relay: The instance to ask instead of the store; None: the store.
-        news: Whether the relay has a newer version.
+        is_newer: Whether the relay has a newer version.
         at_once: Whether the store's next call must return without waiting for
             a change.
     """
 
     relay: settings.Address | None = None
-    news: bool = False
+    is_newer: bool = False
     at_once: bool = False
 
 
@@ -137,7 +137,7 @@
             self._watch.skip_wait()
         self._source = source
         self._wake_event.set()
-        if source.news and self._missing_since is None:
+        if source.is_newer and self._missing_since is None:
             self._missing_since = self._loop.time()
         if source.relay is not None and self._watch.failing:
             self._watch.reset_failures()
@@ -146,7 +146,7 @@
                 self._table.value,
                 source.relay.host,
             )
-        if source.news and source.relay is not None and self._calling:
+        if source.is_newer and source.relay is not None and self._calling:
             # The relay already has what this call waits for, and the store may
             # not be answering this instance.
             self._store.cancel()
@@ -181,7 +181,7 @@
             # the store is asked: the store may not answer this instance until
             # the call times out.
             if source.relay is not None and (
-                source.news or not self._store_requested
+                source.is_newer or not self._store_requested
             ):
                 fetched = await self._follow_relay(source.relay)
                 if fetched or not self._store_requested:
@@ -224,7 +224,7 @@
         Returns:
             False if the newer version could not be fetched.
         """
-        if not self._source.news:
+        if not self._source.is_newer:
             self._wake_event.clear()
             await self._wake_event.wait()
             return True
@@ -354,7 +354,7 @@
                 self._watch.skip_wait()
                 self._store_requested = self._source.relay is not None
                 return 0.0
-            if self._source.relay is not None and self._source.news:
+            if self._source.relay is not None and self._source.is_newer:
                 return 0.0
             return self._handle_trouble(answer.err_value, sent_at)
         rows = answer.ok_value
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -28,15 +28,15 @@
     def __init__(
         self,
         chooser: choice.Chooser,
-        known: cluster_state.ClusterState,
-        found: evidence.Evidence,
-        suspected: quarantine.Quarantine,
+        state: cluster_state.ClusterState,
+        shared_findings: evidence.Evidence,
+        request_quarantine: quarantine.Quarantine,
         data_centre: ids.DataCentre,
     ) -> None:
-        self._suspected = suspected
+        self._quarantine = request_quarantine
         self._chooser = chooser
-        self._known = known
-        self._evidence = found
+        self._state = state
+        self._evidence = shared_findings
         self._data_centre = data_centre
 
     def read_loads(self) -> messages.LoadTable:
@@ -60,24 +60,24 @@
         return self._chooser.list_cached_in(self._data_centre)
 
     def read_store_status(self, now: float) -> messages.StoreStatus | None:
-        """Returns the known versions of the tables and their proof's age."""
-        return self._known.write_proof(now)
+        """Returns the known versions of the tables and how old they are."""
+        return self._state.make_store_status(now)
 
     def record_store_status(
-        self, proof: messages.StoreStatus, moment: float, teller: str
+        self, status: messages.StoreStatus, moment: float, sender: str
     ) -> None:
         """Records the versions that a relay has proven to be current."""
-        self._known.take_proof(proof, moment, teller)
+        self._state.record_store_status(status, moment, sender)
 
     def record_store_answer(self, moment: float) -> None:
         """Records roughly when the store answered another instance."""
-        self._known.record_store_answer(moment)
+        self._state.record_store_answer(moment)
 
     def record_store_versions(
-        self, proof: messages.StoreStatus, teller: str
+        self, status: messages.StoreStatus, sender: str
     ) -> None:
         """Records the versions that a reporter has read."""
-        self._known.take_versions(proof, teller)
+        self._state.record_store_versions(status, sender)
 
     def take_findings(self) -> list[messages.Finding]:
         """Returns its findings about runners since the last call."""
@@ -89,25 +89,25 @@
 
     def take_suspicions(self, now: float) -> messages.Suspicions | None:
         """Returns new suspicions of requests that crash runners, if any."""
-        return self._suspected.take_updates(now)
+        return self._quarantine.take_updates(now)
 
     def take_suspicions_page(self, now: float) -> messages.Suspicions | None:
         """Returns the next page of all its suspicions, if there are any."""
-        return self._suspected.take_page(now)
+        return self._quarantine.take_page(now)
 
     def list_suspicions(self, now: float) -> list[messages.Suspicions]:
         """Returns all its suspicions, split into datagrams."""
-        return self._suspected.list_all(now)
+        return self._quarantine.list_all(now)
 
     def record_suspicions(
-        self, told: messages.Suspicions, host: str, now: float
+        self, suspicions: messages.Suspicions, host: str, now: float
     ) -> None:
         """Records another instance's suspicions."""
-        self._suspected.receive_suspicions(told, host, now)
+        self._quarantine.receive_suspicions(suspicions, host, now)
 
     def record_instance_count(self, count: int) -> None:
         """Records how many instances are known, including this one."""
-        self._suspected.set_peer_count(count - 1)
+        self._quarantine.set_peer_count(count - 1)
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -115,20 +115,20 @@
 
     def __init__(
         self,
-        here: LocalInstance,
+        instance: LocalInstance,
         config: settings.GatewaySettings,
         me: messages.Address,
     ) -> None:
         """Creates the exchange; `run` starts its periods.
 
         Args:
-            here: Provides and receives the state that is exchanged.
+            instance: Provides and receives the state that is exchanged.
             config: The settings.
             me: The address at which datagrams arrive.
         """
         self._loop = asyncio.get_running_loop()
         self._exchange = core.Exchange(
-            me, config.data_centre, config.seeds, here
+            me, config.data_centre, config.seeds, instance
         )
         self._me = me
         self._transport: asyncio.DatagramTransport | None = None
@@ -198,13 +198,13 @@
         now = self._loop.time()
         if isinstance(message, messages.Tally | messages.HolderNotice):
             self._exchange.record_contact(message.data_centre, address[0], now)
-            for take in self._on_duty:
-                take(message, address[0])
+            for on_duty in self._on_duty:
+                on_duty(message, address[0])
             return
         if isinstance(message, limit_messages.LimitMessage):
             self._exchange.record_contact(message.data_centre, address[0], now)
-            for take_limits in self._on_limits:
-                take_limits(message, address[0])
+            for on_limits in self._on_limits:
+                on_limits(message, address[0])
             return
         self._send_all(self._exchange.receive(message, address[0], now))
         if isinstance(message, messages.OtherLoads):
@@ -250,7 +250,7 @@
         urgent, self._urgent = self._urgent, False
         self._send_all(self._exchange.tick(now, urgent))
         self._read_exchange(now)
-        self._note_changes(now)
+        self._log_changes(now)
 
     def read_others(self, runner: int) -> messages.Load:
         """Returns the load that other instances put on a runner."""
@@ -295,7 +295,7 @@
         age_s = self._exchange.read_age(now)
         self._loads_received_at = None if age_s is None else now - age_s
 
-    def _note_changes(self, now: float) -> None:
+    def _log_changes(self, now: float) -> None:
         if self._exchange.instances != self._instances:
             self._instances = self._exchange.instances
             _LOG.info("event=peers_known instances=%d", self._instances)
--- a/pollenfork/gateway/scaler.py
+++ b/pollenfork/gateway/scaler.py
@@ -28,19 +28,19 @@
 
     def __init__(
         self,
-        duty_office: duty_lease.DutyLease,
-        known: cluster_state.ClusterState,
+        lease: duty_lease.DutyLease,
+        state: cluster_state.ClusterState,
         chooser: choice.Chooser,
     ) -> None:
         """Creates a scaler without planners.
 
         Args:
-            duty_office: Receives the orders.
-            known: The configuration and the runners.
+            lease: Receives the orders.
+            state: The configuration and the runners.
             chooser: Measures how busy runners are.
         """
-        self._office = duty_office
-        self._known = known
+        self._lease = lease
+        self._state = state
         self._chooser = chooser
         self._planners: dict[ids.ServiceName, planner.Planner] = {}
         self._most_seen: collections.Counter[ids.ServiceName] = (
@@ -56,12 +56,12 @@
             return
         self._next_at = now + _PERIOD_S
         self._record_growth(now)
-        found = self._known.lookup
-        if found is None or not self._known.has_runners:
+        found = self._state.lookup
+        if found is None or not self._state.has_runners:
             return
-        if self._office.fencing != self._fencing:
+        if self._lease.fencing != self._fencing:
             # Another holder may have placed other orders in the meantime.
-            self._fencing = self._office.fencing
+            self._fencing = self._lease.fencing
             self._planners.clear()
         for service in found.configuration.services.values():
             if service.scaling is not None:
@@ -82,14 +82,14 @@
         self, service: ids.ServiceName, terms: routes.Scaling, now: float
     ) -> None:
         view = model.View(self._count(service), self._list_ordered(service))
-        usual = self._office.find_baseline(service)
+        usual = self._lease.find_baseline(service)
         unasked = usual is None
         if usual is None:
             usual = view.ready
             since = self._grown_at.get(service)
             if since is None or now - since < _SETTLE_S:
                 return  # Runners started together may not all be known yet.
-            self._office.work_queue.set_baseline(service, usual)
+            self._lease.work_queue.set_baseline(service, usual)
         planned = self._planners.get(service)
         if planned is None or planned.terms != terms:
             need = demand.DemandEstimator(usual, view.ready, now)
@@ -113,14 +113,14 @@
             subject = rows.RunnerPool(
                 service, target.kind.data_centre, target.kind.reclaimable
             )
-            self._office.work_queue.add_order(
+            self._lease.work_queue.add_order(
                 rows.ScalingOrder(subject, target.count)
             )
 
     def _record_growth(self, now: float) -> None:
         """Records when the number of each service's runners last grew."""
         counted = collections.Counter(
-            runner.service for runner in self._known.runners.list_all()
+            runner.service for runner in self._state.runners.list_all()
         )
         for service, count in counted.items():
             if count > self._most_seen[service]:
@@ -131,7 +131,7 @@
         self, service: ids.ServiceName
     ) -> dict[ids.DataCentre, model.RunnerCounts]:
         counted: dict[ids.DataCentre, list[int]] = {}
-        for runner in self._known.runners.list_accepting(service):
+        for runner in self._state.runners.list_accepting(service):
             counts = counted.setdefault(runner.data_centre, [0, 0])
             counts[runner.reclaimable] += 1
         return {
@@ -154,6 +154,6 @@
             model.RunnerKind(
                 each.subject.data_centre, each.subject.reclaimable
             ): each.count
-            for each in self._office.work_queue.list_orders()
+            for each in self._lease.work_queue.list_orders()
             if each.subject.service == service
         }
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -200,5 +200,5 @@
     if newer and sender is not None and sender != relay:
         if not table.is_relay_late(now):
             return following.SourceChoice(relay)
-        return following.SourceChoice(sender, news=True)
+        return following.SourceChoice(sender, is_newer=True)
     return following.SourceChoice(relay, newer)
--- a/pollenfork/gateway/tests/test_cache_feed.py
+++ b/pollenfork/gateway/tests/test_cache_feed.py
@@ -39,22 +39,22 @@
             if word[:1] in b"+-"
         )
         fields = dict(word.split(b"=") for word in words if b"=" in word)
-        news = fleet_messages.CacheReport(
+        report = fleet_messages.CacheReport(
             changes,
             len(changes),
             gap=b"gap" in words,
             epoch=fields.get(b"epoch", b"").decode(),
             start=int(fields[b"born"]) if b"born" in fields else None,
         )
-        return result.Ok(news)
+        return result.Ok(report)
 
     def decode_list(self, status, body):
         return self.decode_feed(status, body).map(
-            lambda news: fleet_messages.CacheReport(
-                news.changes,
-                news.last_sequence,
+            lambda report: fleet_messages.CacheReport(
+                report.changes,
+                report.last_sequence,
                 complete=True,
-                epoch=news.epoch,
+                epoch=report.epoch,
             )
         )
 
--- a/pollenfork/gateway/tests/test_cluster_state.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -124,14 +124,14 @@
 def test_a_relays_proof_counts_only_for_versions_known_here() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
     assert not known.freshness.trusts_keys(100.0)
     assert (
         known.configuration_versions.is_newer_elsewhere
         and not known.runners_versions.is_newer_elsewhere
     )
     configure(known, 6, 11)
-    known.take_proof(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
     assert not known.configuration_versions.is_newer_elsewhere
     assert known.follows_relay(101.4)
@@ -141,14 +141,14 @@
 def test_a_proof_of_an_older_version_still_counts() -> None:
     known = make_known()
     configure(known, 6, 11)
-    known.take_proof(messages.StoreStatus(10, 0, 0.2), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(10, 0, 0.2), 100.0, "a")
     assert known.freshness.trusts_keys(103.0)
 
 
 def test_a_change_that_does_not_arrive_from_peers_is_detected() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
     assert not known.configuration_versions.is_behind(100.0)
     assert not known.runners_versions.is_behind(100.0)
     assert known.runners_versions.is_behind(100.6)
@@ -163,20 +163,20 @@
     configure(known, 5, 10)
     now = 100.0
     while now < 100.4:
-        known.take_proof(messages.StoreStatus(10, 30, 0.0), now, "a")
-        known.take_proof(messages.StoreStatus(10, 20, 0.0), now, "b")
+        known.record_store_status(messages.StoreStatus(10, 30, 0.0), now, "a")
+        known.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
         overdue = known.runners_versions.is_store_late(now)
         now += 0.05
     assert overdue and known.runners_versions.sender == "a"
     known.take_runners(catalogue.Changes((), 30), now)
-    known.take_proof(messages.StoreStatus(10, 20, 0.0), now, "b")
+    known.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
     assert not known.runners_versions.is_newer_elsewhere
 
 
 def test_versions_alone_prove_nothing_about_age() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_versions(messages.StoreStatus(12, 30, 0.0), "c")
+    known.record_store_versions(messages.StoreStatus(12, 30, 0.0), "c")
     assert known.configuration_versions.is_newer_elsewhere
     assert known.configuration_versions.sender == "c"
     assert not known.follows_relay(100.0)
@@ -189,26 +189,26 @@
     known.record_current(100.0)
     left = catalogue.Row("q", b"", 20, removed=True)
     known.take_runners(catalogue.Changes((left,), 25), 100.0)
-    assert known.write_proof(100.0).runners == 20
+    assert known.make_store_status(100.0).runners == 20
     gone = catalogue.Row("r", b"", 4, removed=True, missing=True)
     known.take_runners(catalogue.Changes((gone,), 30), 100.0)
     # Peers knew all changes up to 25, but not this removal.
-    assert known.write_proof(100.0).runners == 30
+    assert known.make_store_status(100.0).runners == 30
 
 
 def test_forwarded_proof_never_gets_younger() -> None:
     first, second = make_known(), make_known()
     for known in (first, second):
         configure(known, 5, 10)
-    assert second.write_proof(100.0) is None
+    assert second.make_store_status(100.0) is None
     first.record_current(99.0)
-    assert first.write_proof(100.5) == messages.StoreStatus(10, 0, 1.5)
+    assert first.make_store_status(100.5) == messages.StoreStatus(10, 0, 1.5)
     # Two instances forward the proof to each other, with 0.1 s between steps.
     now = 100.5
     for _ in range(20):
-        for teller, hearer in ((first, second), (second, first)):
-            proof = teller.write_proof(now + 0.1)
-            hearer.take_proof(proof, now - proof.age_s, "a")
+        for sender, receiver in ((first, second), (second, first)):
+            status = sender.make_store_status(now + 0.1)
+            receiver.record_store_status(status, now - status.age_s, "a")
             now += 0.1
     assert first.freshness.age(now) == pytest.approx(now - 99.0)
     assert second.freshness.age(now) > now - 99.0
@@ -219,7 +219,7 @@
     known = make_known()
     configure(known, 5, 10)
     assert not known.is_proven_by_others(100.0)
-    known.take_proof(messages.StoreStatus(10, 0, 0.0), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(10, 0, 0.0), 100.0, "a")
     assert known.is_proven_by_others(100.9)
     assert not known.is_proven_by_others(101.1)
 
@@ -257,7 +257,7 @@
     know_runner(known, 100.0)
     known.record_store_failure(104.6)
     # The store answered another instance first.
-    known.take_proof(messages.StoreStatus(10, 13, 0.2), 105.0, "a")
+    known.record_store_status(messages.StoreStatus(10, 13, 0.2), 105.0, "a")
     remove_runner(known, 105.2)
     known.expire_runners(106.9)
     assert list_runners(known) == ["r"]
@@ -271,7 +271,9 @@
     for step in range(1, 20):
         moment = 100.0 + step * 0.5
         known.record_store_failure(moment)
-        known.take_proof(messages.StoreStatus(10, 12, 0.5), moment - 0.5, "a")
+        known.record_store_status(
+            messages.StoreStatus(10, 12, 0.5), moment - 0.5, "a"
+        )
     known.record_store_answer(110.0)
     remove_runner(known, 110.0)
     assert list_runners(known) == []
@@ -280,7 +282,7 @@
 def test_an_overdue_change_stays_overdue_until_it_arrives() -> None:
     known = make_known()
     configure(known, 5, 10)
-    known.take_proof(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
+    known.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
     overdue = []
     for step in range(30):
         now = 100.0 + step * 0.05
--- a/pollenfork/gateway/tests/test_duty_agent.py
+++ b/pollenfork/gateway/tests/test_duty_agent.py
@@ -223,7 +223,7 @@
 
 # Guards against reports that contain the holder's own counts only (one request
 # in 76; on a simulated day 20 of 1,374 requests were counted). The others sent
-# their tallies to the first candidate, which knew no holder and told nobody,
+# their tallies to the first candidate, which knew no holder and told none,
 # because it ignored the holder that it read from the row again and again.
 def test_the_first_candidate_learns_of_the_holder_from_its_row() -> None:
     def check() -> None:
@@ -259,11 +259,11 @@
         site.run(8.0)
         started = site.run(9.0, start_rate=0.4)
         holder = next(
-            each for each in site.instances if each.agent.office.holds(site.now)
+            each for each in site.instances if each.agent.lease.holds(site.now)
         )
         own = sum(
             sum(each.counts.values())
-            for each in holder.agent.accounts._tallies.list_all()
+            for each in holder.agent.accounts._usage.list_all()
         )
         holder.start()
         started += site.run(9.0, start_rate=0.4)
@@ -293,14 +293,14 @@
         site = Site(9)
         site.run(8.0)
         holder = next(
-            each for each in site.instances if each.agent.office.holds(site.now)
+            each for each in site.instances if each.agent.lease.holds(site.now)
         )
         holder.reaches_store = False
         site.run(9.0)
         others = [
             each
             for each in site.instances
-            if each is not holder and each.agent.office.holds(site.now)
+            if each is not holder and each.agent.lease.holds(site.now)
         ]
         assert len(others) == 1
 
@@ -319,7 +319,7 @@
         site.run(8.0)
         holder = find_holder(site)
         for each in site.instances:
-            each.agent.office._read_at = -1.0  # Read long ago.
+            each.agent.lease._read_at = -1.0  # Read long ago.
         for each in (holder, *site.instances[1:3]):
             each.reaches_store = False
         started = site.now
@@ -339,13 +339,13 @@
         site.platform_up = False
         started = site.run(25.0, start_rate=0.4)
         holder = find_holder(site)
-        assert len(holder.agent.office.work_queue.stored_reports) > PAGE
+        assert len(holder.agent.lease.work_queue.stored_reports) > PAGE
         holder.alive = False
         site.platform_up = True
         site.run(20.0)
         own = sum(
             sum(each.counts.values())
-            for each in holder.agent.accounts._tallies.list_all()
+            for each in holder.agent.accounts._usage.list_all()
         )
         assert started - own <= site.count_reported() <= started
 
@@ -354,5 +354,5 @@
 
 def find_holder(site: Site) -> Instance:
     return next(
-        each for each in site.instances if each.agent.office.holds(site.now)
+        each for each in site.instances if each.agent.lease.holds(site.now)
     )
--- a/pollenfork/gateway/tests/test_following.py
+++ b/pollenfork/gateway/tests/test_following.py
@@ -83,10 +83,10 @@
         self.relay_tables.take(Table.RUNNERS, messages.Changes(rows, version))
 
     def set_source(
-        self, news: bool = False, relay: bool = True, at_once: bool = False
+        self, is_newer: bool = False, relay: bool = True, at_once: bool = False
     ) -> None:
         to = self.relay if relay else None
-        self.follower.set_source(following.SourceChoice(to, news, at_once))
+        self.follower.set_source(following.SourceChoice(to, is_newer, at_once))
 
 
 @contextlib.asynccontextmanager
@@ -127,7 +127,7 @@
     async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         changes = bench.seen[1]
         assert changes.through == 7
@@ -135,7 +135,7 @@
         assert found == {"a": True, "b": False}
         bench.set_source()
         bench.tell(9, Row("c", b"3", 9))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 3)
         assert len(bench.store.asked) == 2
         # Only the store's own answers prove that the copy is current.
@@ -148,7 +148,7 @@
     async def scenario(bench):
         bench.store.silent = True
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: bench.seen)
         assert [row.key for row in bench.seen[0].rows] == ["b"]
 
@@ -182,7 +182,7 @@
     async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         bench.store.rows = messages.Rows((Row("c", b"3", 8),), 8)
         bench.set_source(relay=False, at_once=True)
@@ -199,7 +199,7 @@
     async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         bench.store.rows = messages.Rows((Row("b", b"2", 7),), 7)
         bench.follower.ask_store_now()
@@ -215,7 +215,7 @@
     async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         # The store answers from a copy older than the relay's version.
         bench.follower.ask_store_now()
@@ -229,10 +229,10 @@
     async def scenario(bench):
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         bench.tell(1, Row("z", b"9", 1))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await asyncio.sleep(0.05)
         assert len(bench.seen) == 1
-        nobody = following.SourceChoice(loads.Address(_HOST, 1), news=True)
+        nobody = following.SourceChoice(loads.Address(_HOST, 1), is_newer=True)
         bench.follower.set_source(nobody)
         await bench.wait_for(lambda: "event=relay_silent" in caplog.text)
         assert len(bench.seen) == 1
@@ -256,7 +256,7 @@
         await bench.wait_for(lambda: len(bench.store.asked) == 2)
         assert len(bench.answers) == 1
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         await bench.wait_for(lambda: len(bench.seen) == 2)
         # Neither a call that is broken off here nor an answer of another
         # instance says anything about the store.
@@ -296,7 +296,7 @@
         await bench.wait_for(lambda: len(bench.store.asked) > 2)
         await asyncio.sleep(0.05)
         bench.tell(7, Row("b", b"2", 7))
-        bench.set_source(news=True)
+        bench.set_source(is_newer=True)
         bench.follower.ask_store_now()  # Breaking it off twice is harmless.
         told_at = loop.time()
         await bench.wait_for(lambda: len(bench.seen) == 2)
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -91,17 +91,19 @@
 
     @property
     def knows_of_the_removal(self) -> bool:
-        proof = self.known.write_proof(self.loop.time())
-        return proof is not None and proof.runners == _REMOVED_AT
+        status = self.known.make_store_status(self.loop.time())
+        return status is not None and status.runners == _REMOVED_AT
 
     @property
     def usable_runners(self) -> list[str]:
         return test_cluster_state.list_runners(self.known)
 
-    def receive_proof(self, news: int, age_s: float = 0.1) -> None:
-        """Receives the proof of a remote relay, which the store answers."""
-        proof = loads.StoreStatus(1, news, age_s)
-        self.known.take_proof(proof, self.loop.time() - age_s, "elsewhere")
+    def receive_status(self, version: int, age_s: float = 0.1) -> None:
+        """Receives the status of a remote relay, which the store answers."""
+        status = loads.StoreStatus(1, version, age_s)
+        self.known.record_store_status(
+            status, self.loop.time() - age_s, "elsewhere"
+        )
 
     async def run_until(self, holds, each=lambda: None) -> None:
         async with asyncio.timeout(10):
@@ -141,12 +143,13 @@
     standin = instance.standin
     standin.start_refusing()
     await instance.run_until(
-        lambda: standin.refused >= 4, lambda: instance.receive_proof(1)
+        lambda: standin.refused >= 4, lambda: instance.receive_status(1)
     )
     standin.remove_the_runner()
     standin.stop_refusing()
     await instance.run_until(
-        lambda: instance.knows_of_the_removal, lambda: instance.receive_proof(1)
+        lambda: instance.knows_of_the_removal,
+        lambda: instance.receive_status(1),
     )
 
 
@@ -168,7 +171,7 @@
                 reporter.others.relay = address
                 await reporter.run_until(
                     lambda: reporter.knows_of_the_removal,
-                    lambda: reporter.receive_proof(_REMOVED_AT),
+                    lambda: reporter.receive_status(_REMOVED_AT),
                 )
             assert reporter.usable_runners == []
 
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -57,15 +57,15 @@
         self.address: settings.Address = address
         store = Store(standin)
         self.others = Others()
-        self.others.hosts["teller"] = address
+        self.others.hosts["sender"] = address
         self.known = cluster_state.ClusterState(store, 5.0)
         self.sources: sources.Sources
 
     def receive(
-        self, news: int, age_s: float = 0.1, teller: str = "teller"
+        self, version: int, age_s: float = 0.1, sender: str = "sender"
     ) -> None:
-        proof = loads.StoreStatus(news, news, age_s)
-        self.known.take_proof(proof, self.loop.time() - age_s, teller)
+        status = loads.StoreStatus(version, version, age_s)
+        self.known.record_store_status(status, self.loop.time() - age_s, sender)
 
     async def choose_until(self, holds, limit_s: float = 5.0) -> float:
         """Calls `choose` periodically; returns seconds until `holds()`."""
@@ -132,7 +132,9 @@
         # The poller's proof counts here again, and is forwarded to others.
         bench.receive(9)
         assert bench.known.freshness.age(bench.loop.time()) < 1.0
-        assert bench.known.write_proof(bench.loop.time()).configuration == 9
+        assert (
+            bench.known.make_store_status(bench.loop.time()).configuration == 9
+        )
 
     run_scenario(scenario)
 
@@ -178,7 +180,7 @@
 
         def is_there() -> bool:
             # The latest announcement is of another relay without the change.
-            bench.receive(1, teller="other")
+            bench.receive(1, sender="other")
             return read_version(bench) == 6
 
         took_s = await bench.choose_until(is_there)
@@ -191,7 +193,7 @@
 
 def test_a_relay_asks_the_store_if_the_announcing_host_is_gone() -> None:
     async def scenario(bench):
-        bench.others.hosts["teller"] = loads.Address(_HOST, 1)
+        bench.others.hosts["sender"] = loads.Address(_HOST, 1)
         bench.receive(9)
         # The change is overdue for long enough to ask the sender first.
         while not bench.known.configuration_versions.is_store_late(
--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -150,11 +150,13 @@
 
 
 def test_proof_of_what_is_not_known_here_is_seen(monkeypatch) -> None:
-    def take_proof(self, proof, moment, teller):
-        self.take_versions(proof, teller)
+    def record_store_status(self, proof, moment, teller):
+        self.record_store_versions(proof, teller)
         self.freshness.vouch(moment)
 
-    monkeypatch.setattr(cluster_state.ClusterState, "take_proof", take_proof)
+    monkeypatch.setattr(
+        cluster_state.ClusterState, "record_store_status", record_store_status
+    )
     assert "false_proof" in list_rules([3, 8, 44, 56])
 
 
