--- a/pollenfork/gateway/admission.py
+++ b/pollenfork/gateway/admission.py
@@ -20,7 +20,7 @@
 
 
 def admit(
-    known: cluster_state.ClusterState,
+    state: cluster_state.ClusterState,
     call: messages.Request,
     head: messages.RequestHead,
     now: float,
@@ -28,34 +28,34 @@
     """Determines a request's route, account, service and deadline.
 
     Args:
-        known: The instance's view of the configuration.
+        state: The instance's view of the configuration.
         call: The request.
         head: Values decoded from its headers.
         now: Monotonic seconds.
     """
-    found = known.lookup
-    if found is None:
+    settings = state.lookup
+    if settings is None:
         return _refuse(503, _Reason.NO_SETTINGS)
     if not head.attempt:
         return _refuse(400, _Reason.NO_ATTEMPT_ID)
-    route = found.find_route(find_host(call), find_path(call))
+    route = settings.find_route(find_host(call), find_path(call))
     if route is None:
-        if not known.freshness.trusts_keys(now):
+        if not state.freshness.trusts_keys(now):
             return _refuse(503, _Reason.SETTINGS_STALE)
         return _refuse(404, _Reason.NO_ROUTE)
     account = None
-    if found.needs_key(route):
-        if not known.freshness.trusts_keys(now):
+    if settings.needs_key(route):
+        if not state.freshness.trusts_keys(now):
             return _refuse(503, _Reason.SETTINGS_STALE)
-        account = found.find_account(head.key)
+        account = settings.find_account(head.key)
         if account is None:
             return _refuse(401, _Reason.UNKNOWN_KEY)
-    age_s = known.freshness.age(now) or 0.0
-    return result.Ok(_admit(found, call, head, route, account, age_s))
+    age_s = state.freshness.age(now) or 0.0
+    return result.Ok(_admit(settings, call, head, route, account, age_s))
 
 
 def _admit(
-    found: lookup.Lookup,
+    settings: lookup.Lookup,
     call: messages.Request,
     head: messages.RequestHead,
     route: routes.Route,
@@ -66,12 +66,12 @@
     if head.wait_s is not None:
         limit_s = min(limit_s, head.wait_s)
     service = lookup.choose_service(route, head.attempt.encode())
-    tiers = found.list_tiers(service)
+    tiers = settings.list_tiers(service)
     quick = route.tier <= tiers[0] if len(tiers) > 1 else None
-    known = found.configuration.services.get(service)
-    tier = found.rank(route, account)
+    config = settings.configuration.services.get(service)
+    tier = settings.rank(route, account)
     demand = candidates.RequestProfile(
-        service, head.parts, quick, known.copy_s if known else None, tier
+        service, head.parts, quick, config.copy_s if config else None, tier
     )
     return context.AdmittedRequest(
         call=call,
@@ -79,11 +79,11 @@
         route=route,
         demand=demand,
         prefill_limit_s=load_shedding.find_prefill_limit(
-            route, tiers, demand, found.is_favoured(account)
+            route, tiers, demand, settings.is_favoured(account)
         ),
         account=account,
         tier=tier,
-        version=found.configuration.version,
+        version=settings.configuration.version,
         age_s=age_s,
         deadline=call.arrived + limit_s,
         digest=digests.compute(
--- a/pollenfork/gateway/application.py
+++ b/pollenfork/gateway/application.py
@@ -98,25 +98,25 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._listeners: list[asyncio.Server] = []
         self.counters = counters.Counters()
-        self.known = cluster_state.ClusterState(
+        self.state = cluster_state.ClusterState(
             store, config.revocation_s, config.heartbeat_s
         )
         connections = pool.Pool(self._loop)
         me = config.peer or config.front
         granted = permits.Permits(self._loop, me.host, config.data_centre)
         chooser = choice.Chooser(
-            self.known.runners, rng, self._read_others, granted
+            self.state.runners, rng, self._read_others, granted
         )
-        found = evidence.Evidence(
-            self.known.runners, chooser.get_state, config.data_centre
+        findings = evidence.Evidence(
+            self.state.runners, chooser.get_state, config.data_centre
         )
-        suspected = quarantine.Quarantine(
-            self.known.runners,
+        request_quarantine = quarantine.Quarantine(
+            self.state.runners,
             config.front.host,
             lambda runner, at: chooser.get_state(runner).is_alive_since(at),
             self._loop.time,
         )
-        found.when_ended(suspected.record_absence)
+        findings.when_ended(request_quarantine.record_absence)
         self._duty_agent: duty_agent.DutyAgent | None = None
         if config.duties is not None:
             self._duty_agent = duty_agent.DutyAgent(
@@ -128,18 +128,18 @@
                 rng,
             )
         self._quarantine_store = quarantine_store.QuarantineStore(
-            config.store, store, suspected, time.time
+            config.store, store, request_quarantine, time.time
         )
-        self._tools = context.Dependencies(
+        self._deps = context.Dependencies(
             loop=self._loop,
             rng=rng,
             codec=codec,
             chooser=chooser,
-            evidence=found,
+            evidence=findings,
             crash_probes=crash_probes.CrashProbes(
-                connections, found, suspected, chooser.get_state
+                connections, findings, request_quarantine, chooser.get_state
             ),
-            request_quarantine=suspected,
+            request_quarantine=request_quarantine,
             limit_events=limit_events.LimitEvents(),
             permits=granted,
             record_started=(
@@ -149,7 +149,7 @@
             ),
             claim_trial=self._quarantine_store.claim_trial,
             pool=connections,
-            prober=probing.Prober(connections, self.known.runners, rng),
+            prober=probing.Prober(connections, self.state.runners, rng),
             retry_budget=retry_budget.RetryBudget(
                 config.retry_ratio, config.retry_window_s, config.retry_extra
             ),
@@ -157,18 +157,18 @@
             counters=self.counters,
             read_loads_age=self._read_loads_age,
         )
-        suspected.when_probe_needed(self._tools.crash_probes.probe)
-        connections.watch_registry(self.known.runners)
-        self.known.runners.when_gone(self._tools.limit_events.forget)
-        self._readiness = readiness.Readiness(self.known, self._stopping.is_set)
-        self._sources = sources.Sources(config.store, store, self.known, rng)
+        request_quarantine.when_probe_needed(self._deps.crash_probes.probe)
+        connections.watch_registry(self.state.runners)
+        self.state.runners.when_gone(self._deps.limit_events.forget)
+        self._readiness = readiness.Readiness(self.state, self._stopping.is_set)
+        self._sources = sources.Sources(config.store, store, self.state, rng)
         self._sources.tables.add_page(
-            quarantine_page.QuarantinePage(suspected, self._loop.time)
+            quarantine_page.QuarantinePage(request_quarantine, self._loop.time)
         )
         self._cache_feed = cache_feed.CacheFeed(
             cache_codec,
-            self._tools.chooser,
-            self.known,
+            self._deps.chooser,
+            self.state,
             config.data_centre,
             rng,
         )
@@ -178,7 +178,7 @@
             and config.duties.scales
         ):
             service_scaler = scaler.Scaler(
-                self._duty_agent.lease, self.known, chooser
+                self._duty_agent.lease, self.state, chooser
             )
             self._duty_agent.when_held(service_scaler.check)
             self._duty_agent.when_answered(service_scaler.record_reply)
@@ -187,7 +187,7 @@
         if self._duty_agent is not None:
             self.counters.when_scraped(self._duty_agent.show)
         handler = request_handler.RequestHandler(
-            self._tools, self.known, self._readiness
+            self._deps, self.state, self._readiness
         )
         self._front = callers.Server(self._loop, handler.serve)
         self._probes = callers.Server(self._loop, handler.serve_probe)
@@ -203,7 +203,7 @@
         """Starts to stop; requests in progress are still answered."""
         if not self._stopping.is_set():
             _LOG.info("event=stopping instance=%s", self._settings.instance)
-            self._tools.permits.leave()
+            self._deps.permits.leave()
         self._stopping.set()
 
     # Starting and stopping.
@@ -245,23 +245,23 @@
         me = self._settings.peer
         if me is None:
             return
-        here = peers.LocalInstance(
-            self._tools.chooser,
-            self.known,
-            self._tools.evidence,
-            self._tools.request_quarantine,
+        instance = peers.LocalInstance(
+            self._deps.chooser,
+            self.state,
+            self._deps.evidence,
+            self._deps.request_quarantine,
             self._settings.data_centre,
         )
         _, joined = await self._loop.create_datagram_endpoint(
-            lambda: peers.Peers(here, self._settings, me), local_addr=me
+            lambda: peers.Peers(instance, self._settings, me), local_addr=me
         )
         joined.when_ticked(lambda: self._sources.choose(joined))
         joined.when_ticked(lambda: self._cache_feed.check(joined))
-        self._tools.permits.join(joined)
-        joined.on_limits(self._tools.permits.receive)
-        joined.when_ticked(self._tools.permits.tick)
-        self._tools.chooser.when_long(joined.announce_soon)
-        self._tools.request_quarantine.when_urgent(joined.flush_suspicions)
+        self._deps.permits.join(joined)
+        joined.on_limits(self._deps.permits.receive)
+        joined.when_ticked(self._deps.permits.tick)
+        self._deps.chooser.when_long(joined.announce_soon)
+        self._deps.request_quarantine.when_urgent(joined.flush_suspicions)
         self._peers = joined
         if self._duty_agent is not None:
             self._duty_agent.join(joined)
@@ -280,36 +280,36 @@
         return None if self._peers is None else self._peers.read_age()
 
     def _apply_limits(self) -> None:
-        if self.known.lookup is not None:
-            self._front.limits = self.known.lookup.configuration.limits
+        if self.state.lookup is not None:
+            self._front.limits = self.state.lookup.configuration.limits
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_S)
             self._share_budgets()
-            self._tools.pool.close_expired()
+            self._deps.pool.close_expired()
             now = self._loop.time()
-            self.known.expire_runners(now)
-            self._tools.request_quarantine.sweep(now)
+            self.state.expire_runners(now)
+            self._deps.request_quarantine.sweep(now)
             self._readiness.check(now)
 
     def _share_budgets(self) -> None:
-        found = self.known.lookup
-        if found is None or self._peers is None:
+        lookup = self.state.lookup
+        if lookup is None or self._peers is None:
             return
-        self._tools.retry_budget.set_instances(
+        self._deps.retry_budget.set_instances(
             self._peers.instances, self._loop.time()
         )
-        for service in found.configuration.services.values():
-            self._tools.pool.set_accepted(
+        for service in lookup.configuration.services.values():
+            self._deps.pool.set_accepted(
                 service.name, service.connections, self._peers.instances
             )
 
     async def _clean_up(self) -> None:
         while True:
             await asyncio.sleep(_CLEANUP_S)
-            self._tools.chooser.sweep()
-            self._tools.permits.retain(self._tools.chooser.list_hashes())
+            self._deps.chooser.sweep()
+            self._deps.permits.retain(self._deps.chooser.list_hashes())
 
     def _reload(self) -> None:
         """Reads the settings again and applies those that are reloadable."""
@@ -323,8 +323,8 @@
             return
         changes = self._settings.find_changes(read.ok_value)
         config = self._settings = self._settings.with_reloadable(read.ok_value)
-        self.known.freshness.set_bound(config.revocation_s)
-        self._tools.retry_budget.set_limits(
+        self.state.freshness.set_bound(config.revocation_s)
+        self._deps.retry_budget.set_limits(
             config.retry_ratio, config.retry_window_s, config.retry_extra
         )
         if self._peers is not None:
@@ -362,14 +362,12 @@
         for task in self._tasks:
             task.cancel()
         self._cache_feed.close()
-        self._tools.prober.close()
-        self._tools.crash_probes.close()
-        self._tools.pool.close()
+        self._deps.prober.close()
+        self._deps.crash_probes.close()
+        self._deps.pool.close()
 
     def _show_state(self, shown: "metrics.Metrics") -> None:
-        scrape.show(
-            shown, self._tools, self.known, self._front.counters.refused
-        )
+        scrape.show(shown, self._deps, self.state, self._front.counters.refused)
 
 
 def _count_nothing(account: ids.AccountId) -> None:
--- a/pollenfork/gateway/crash_probes.py
+++ b/pollenfork/gateway/crash_probes.py
@@ -47,22 +47,23 @@
     def __init__(
         self,
         connections: pool.Pool,
-        found: evidence.Evidence,
-        suspected: quarantine.Quarantine,
+        findings: evidence.Evidence,
+        request_quarantine: quarantine.Quarantine,
         get_state: Callable[[ids.EndpointId], runner_state.RunnerState],
     ) -> None:
         """Creates an instance without probes.
 
         Args:
             connections: Opens connections and pools them.
-            found: Receives the addresses that refuse connections.
-            suspected: Receives the runners that drop a connection at once.
+            findings: Receives the addresses that refuse connections.
+            request_quarantine: Receives the runners that drop a connection at
+                once.
             get_state: Returns this instance's state of a runner.
         """
         self._get_state = get_state
         self._pool = connections
-        self._evidence = found
-        self._quarantine = suspected
+        self._evidence = findings
+        self._quarantine = request_quarantine
         # Keyed by the hash of a runner's incarnation and address.
         self._probes: dict[int, CrashProbe] = {}
         self._tasks: set[asyncio.Task[None]] = set()
--- a/pollenfork/gateway/peers.py
+++ b/pollenfork/gateway/peers.py
@@ -29,14 +29,14 @@
         self,
         chooser: choice.Chooser,
         state: cluster_state.ClusterState,
-        shared_findings: evidence.Evidence,
+        findings: evidence.Evidence,
         request_quarantine: quarantine.Quarantine,
         data_centre: ids.DataCentre,
     ) -> None:
         self._quarantine = request_quarantine
         self._chooser = chooser
         self._state = state
-        self._evidence = shared_findings
+        self._evidence = findings
         self._data_centre = data_centre
 
     def read_loads(self) -> messages.LoadTable:
--- a/pollenfork/gateway/quarantine_page.py
+++ b/pollenfork/gateway/quarantine_page.py
@@ -41,16 +41,16 @@
 
     def __init__(
         self,
-        suspected: quarantine.Quarantine,
+        request_quarantine: quarantine.Quarantine,
         read_time: Callable[[], float],
     ) -> None:
         """Creates the page.
 
         Args:
-            suspected: The quarantine to show.
+            request_quarantine: The quarantine to show.
             read_time: Returns monotonic seconds.
         """
-        self._suspected = suspected
+        self._quarantine = request_quarantine
         self._read_time = read_time
 
     def serve(
@@ -72,24 +72,27 @@
             digest = ids.RequestDigest(int(name, 16))
         except ValueError:
             return False
-        return self._suspected.lift(digest)
+        return self._quarantine.lift(digest)
 
     def _encode_list(self) -> bytes:
         now = self._read_time()
-        kept = [
-            _describe(case, now) for case in self._suspected.list_quarantined()
+        quarantined = [
+            _describe(history, now)
+            for history in self._quarantine.list_quarantined()
         ]
-        return msgspec.json.encode(kept)
+        return msgspec.json.encode(quarantined)
 
 
-def _describe(case: crashes.CrashHistory, now: float) -> _Quarantined:
-    since = now if case.quarantined_at is None else case.quarantined_at
-    ends = [
+def _describe(history: crashes.CrashHistory, now: float) -> _Quarantined:
+    since = now if history.quarantined_at is None else history.quarantined_at
+    listed = [
         _Crash(
             place=f"{each.runner_hash:08x}",
             ran_ms=int((each.crashed_at - each.sent_at) * 1000),
             ago_ms=int((now - each.crashed_at) * 1000),
         )
-        for each in case.crashes
+        for each in history.crashes
     ]
-    return _Quarantined(f"{case.digest:016x}", int((now - since) * 1000), ends)
+    return _Quarantined(
+        f"{history.digest:016x}", int((now - since) * 1000), listed
+    )
--- a/pollenfork/gateway/quarantine_store.py
+++ b/pollenfork/gateway/quarantine_store.py
@@ -62,7 +62,7 @@
         self,
         address: settings.Address,
         store: edges.Store,
-        suspected: quarantine.Quarantine,
+        request_quarantine: quarantine.Quarantine,
         read_wall: Callable[[], float],
     ) -> None:
         """Subscribes to changes of the quarantine; `run` makes the calls.
@@ -70,7 +70,7 @@
         Args:
             address: The store's address.
             store: Decodes and encodes the store's calls.
-            suspected: The quarantine to persist and to restore.
+            request_quarantine: The quarantine to persist and to restore.
             read_wall: Returns the wall-clock time in Unix seconds.
         """
         self._loop = asyncio.get_running_loop()
@@ -78,12 +78,12 @@
         self._claims = client.Client(address)
         self._claiming = asyncio.Lock()
         self._store = store
-        self._suspected = suspected
+        self._quarantine = request_quarantine
         self._read_wall = read_wall
         self._queue: asyncio.Queue[_Write] = asyncio.Queue(_QUEUE_LIMIT)
         self._stored: set[ids.RequestDigest] = set()
-        suspected.tracker.when_quarantined(self._on_quarantined)
-        suspected.tracker.when_cleared(self._on_cleared)
+        request_quarantine.tracker.when_quarantined(self._on_quarantined)
+        request_quarantine.tracker.when_cleared(self._on_cleared)
 
     async def run(self) -> None:
         """Restores the stored requests, then writes until cancelled."""
@@ -97,7 +97,7 @@
 
         The store grants each trial of a quarantined request to one instance.
         """
-        number = self._suspected.take_trial(digest, self._loop.time())
+        number = self._quarantine.take_trial(digest, self._loop.time())
         if number is None:
             return False
         key = records.format_trial_key(digest, number)
@@ -113,7 +113,7 @@
             status or "-",
         )
         if status in (429, 503):
-            self._suspected.trials.record_refused_claim(
+            self._quarantine.trials.record_refused_claim(
                 digest, self._loop.time()
             )
         if status == _OK:
@@ -123,19 +123,19 @@
     async def _read(self) -> bool:
         """Restores all rows; returns whether they could be read."""
         start = ""
-        found: list[crashes.CrashHistory] = []
+        histories: list[crashes.CrashHistory] = []
         while True:
-            ask = self._store.encode_range_read(_TABLE, start)
-            answer = await self._client.call(ask, _CALL_TIMEOUT_S)
+            request = self._store.encode_range_read(_TABLE, start)
+            answer = await self._client.call(request, _CALL_TIMEOUT_S)
             if answer is None:
                 return False
             read = self._store.decode_rows(*answer)
             if isinstance(read, result.Err):
                 return False
             rows = read.ok_value
-            found += filter(None, map(self._decode, rows.rows))
+            histories += filter(None, map(self._decode, rows.rows))
             if not rows.more or not rows.rows:
-                self._restore(found)
+                self._restore(histories)
                 return True
             start = rows.rows[-1].key + "\0"
 
@@ -151,15 +151,17 @@
         )
         return None
 
-    def _restore(self, found: list[crashes.CrashHistory]) -> None:
-        _LOG.info("event=kept_requests_read count=%d", len(found))
-        found.sort(key=lambda case: case.crashes[-1].crashed_at, reverse=True)
+    def _restore(self, histories: list[crashes.CrashHistory]) -> None:
+        _LOG.info("event=kept_requests_read count=%d", len(histories))
+        histories.sort(
+            key=lambda history: history.crashes[-1].crashed_at, reverse=True
+        )
         now = self._loop.time()
-        for case in reversed(found[:_ROWS_LIMIT]):
-            self._stored.add(case.digest)
-            self._suspected.tracker.restore(case, now)
-        for case in found[_ROWS_LIMIT : _ROWS_LIMIT + _QUEUE_LIMIT]:
-            self._enqueue(_Write(case.digest, None))
+        for history in reversed(histories[:_ROWS_LIMIT]):
+            self._stored.add(history.digest)
+            self._quarantine.tracker.restore(history, now)
+        for history in histories[_ROWS_LIMIT : _ROWS_LIMIT + _QUEUE_LIMIT]:
+            self._enqueue(_Write(history.digest, None))
 
     async def _write(self, write: _Write) -> bool:
         """Returns whether the store accepted or finally rejected a row."""
@@ -172,17 +174,21 @@
             _LOG.error("event=store_refused key=%s status=%d", key, answer[0])
         return True
 
-    def _on_quarantined(self, case: crashes.CrashHistory, now: float) -> None:
-        if case.digest in self._stored or not self._suspected.saw_crash(case):
+    def _on_quarantined(
+        self, history: crashes.CrashHistory, now: float
+    ) -> None:
+        if history.digest in self._stored or not self._quarantine.saw_crash(
+            history
+        ):
             return
-        self._stored.add(case.digest)
-        value = records.encode(case, now, self._read_wall())
-        self._enqueue(_Write(case.digest, value))
-
-    def _on_cleared(self, case: crashes.CrashHistory, now: float) -> None:
-        if case.quarantined_at is None and case.digest in self._stored:
-            self._stored.discard(case.digest)
-            self._enqueue(_Write(case.digest, None))
+        self._stored.add(history.digest)
+        value = records.encode(history, now, self._read_wall())
+        self._enqueue(_Write(history.digest, value))
+
+    def _on_cleared(self, history: crashes.CrashHistory, now: float) -> None:
+        if history.quarantined_at is None and history.digest in self._stored:
+            self._stored.discard(history.digest)
+            self._enqueue(_Write(history.digest, None))
 
     def _enqueue(self, write: _Write) -> None:
         if self._queue.full():
--- a/pollenfork/gateway/readiness.py
+++ b/pollenfork/gateway/readiness.py
@@ -27,9 +27,11 @@
     """
 
     def __init__(
-        self, known: cluster_state.ClusterState, is_stopping: Callable[[], bool]
+        self,
+        cluster: cluster_state.ClusterState,
+        is_stopping: Callable[[], bool],
     ) -> None:
-        self._known = known
+        self._cluster = cluster
         self._is_stopping = is_stopping
         self.state = State.NO_SETTINGS
 
@@ -46,24 +48,24 @@
         return state is State.READY
 
     def _determine_state(self, now: float) -> State:
-        known = self._known
+        cluster = self._cluster
         if self._is_stopping():
             return State.STOPPING
-        if known.lookup is None:
+        if cluster.lookup is None:
             return State.NO_SETTINGS
-        if not known.has_runners:
+        if not cluster.has_runners:
             return State.NO_RUNNERS
-        if not known.freshness.trusts_keys(now):
+        if not cluster.freshness.trusts_keys(now):
             return State.SETTINGS_STALE
         return State.READY
 
     def _log_change(self, state: State, now: float) -> None:
-        known = self._known
-        age_s = known.freshness.age(now)
+        cluster = self._cluster
+        age_s = cluster.freshness.age(now)
         _LOG.info(
             "event=readiness state=%s before=%s configuration=%s age_ms=%s",
             state.value,
             self.state.value,
-            known.lookup.configuration.version if known.lookup else "-",
+            cluster.lookup.configuration.version if cluster.lookup else "-",
             "-" if age_s is None else int(age_s * 1000),
         )
--- a/pollenfork/gateway/request_handler.py
+++ b/pollenfork/gateway/request_handler.py
@@ -25,18 +25,18 @@
     def __init__(
         self,
         deps: context.Dependencies,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         ready: readiness.Readiness,
     ) -> None:
         """Creates a handler.
 
         Args:
             deps: Dependencies that all exchanges share.
-            known: The instance's view of the configuration and the runners.
+            state: The instance's view of the configuration and the runners.
             ready: Decides whether the load balancer should send callers here.
         """
         self._deps = deps
-        self._known = known
+        self._state = state
         self._readiness = ready
 
     async def serve(
@@ -52,7 +52,7 @@
             return
         head = self._deps.codec.decode_request(call.headers)
         admitted = admission.admit(
-            self._known, call, head, self._deps.loop.time()
+            self._state, call, head, self._deps.loop.time()
         )
         if isinstance(admitted, result.Err):
             self._refuse(call, caller, admitted.err_value, head.attempt)
@@ -67,8 +67,8 @@
         request: str,
     ) -> None:
         self._deps.counters.record_refused(refusal.reason)
-        age_s = self._known.freshness.age(self._deps.loop.time())
-        known = self._known.lookup
+        age_s = self._state.freshness.age(self._deps.loop.time())
+        lookup = self._state.lookup
         _LOG.info(
             "event=refused request=%s status=%d reason=%s host=%s path=%s "
             "configuration=%s age_ms=%s",
@@ -77,7 +77,7 @@
             refusal.reason.value,
             logs.quote_value(admission.find_host(call)),
             logs.quote_value(admission.find_path(call)),
-            known.configuration.version if known else "-",
+            lookup.configuration.version if lookup else "-",
             "-" if age_s is None else int(age_s * 1000),
         )
         caller.write(replies.write_refusal(refusal, caller.closing))
--- a/pollenfork/gateway/scaler.py
+++ b/pollenfork/gateway/scaler.py
@@ -56,14 +56,14 @@
             return
         self._next_at = now + _PERIOD_S
         self._record_growth(now)
-        found = self._state.lookup
-        if found is None or not self._state.has_runners:
+        lookup = self._state.lookup
+        if lookup is None or not self._state.has_runners:
             return
         if self._lease.fencing != self._fencing:
             # Another holder may have placed other orders in the meantime.
             self._fencing = self._lease.fencing
             self._planners.clear()
-        for service in found.configuration.services.values():
+        for service in lookup.configuration.services.values():
             if service.scaling is not None:
                 self._plan(service.name, service.scaling, now)
 
@@ -82,17 +82,17 @@
         self, service: ids.ServiceName, terms: routes.Scaling, now: float
     ) -> None:
         view = model.View(self._count(service), self._list_ordered(service))
-        usual = self._lease.find_baseline(service)
-        unasked = usual is None
-        if usual is None:
-            usual = view.ready
+        baseline = self._lease.find_baseline(service)
+        unasked = baseline is None
+        if baseline is None:
+            baseline = view.ready
             since = self._grown_at.get(service)
             if since is None or now - since < _SETTLE_S:
                 return  # Runners started together may not all be known yet.
-            self._lease.work_queue.set_baseline(service, usual)
+            self._lease.work_queue.set_baseline(service, baseline)
         planned = self._planners.get(service)
         if planned is None or planned.terms != terms:
-            need = demand.DemandEstimator(usual, view.ready, now)
+            need = demand.DemandEstimator(baseline, view.ready, now)
             planned = planner.Planner(terms, need, unasked)
             self._planners[service] = planned
         use = self._measure(service)
--- a/pollenfork/gateway/sources.py
+++ b/pollenfork/gateway/sources.py
@@ -54,7 +54,7 @@
         self,
         address: settings.Address,
         store: edges.Store,
-        known: cluster_state.ClusterState,
+        state: cluster_state.ClusterState,
         rng: random.Random,
     ) -> None:
         """Creates followers of both tables; `start` runs them.
@@ -62,13 +62,13 @@
         Args:
             address: The store's address.
             store: Decodes and encodes the store's calls.
-            known: Receives the changes.
+            state: Receives the changes.
             rng: Spreads retries of many instances over time.
         """
         self._loop = asyncio.get_running_loop()
         self._address = address
         self._store = store
-        self._known = known
+        self._state = state
         self._rng = rng
         self.tables = tables.Tables()
         self._configuration = self._make_follower(
@@ -99,39 +99,39 @@
             peer_exchange: Knows which instances are relays.
         """
         now = self._loop.time()
-        known = self._known
+        state = self._state
         for follower in (self._configuration, self._runners):
             unresponsive = follower.take_unresponsive()
             if unresponsive is not None:
                 peer_exchange.pass_over(unresponsive)
-                known.pass_over(unresponsive)
+                state.pass_over(unresponsive)
         poller = peer_exchange.find_store_poller(now)
         self._update_sources(peer_exchange, now)
-        proven = poller is not None and known.is_proven_by_others(now)
+        proven = poller is not None and state.is_proven_by_others(now)
         self._configuration.set_wait(
             _PROVEN_WAIT_S if proven else _CONFIGURATION_WAIT_S
         )
-        if known.configuration_versions.is_behind(now):
+        if state.configuration_versions.is_behind(now):
             self._configuration.ask_store_now()
-        if known.runners_versions.is_behind(now):
+        if state.runners_versions.is_behind(now):
             self._runners.ask_store_now()
 
     def _update_sources(self, peer_exchange: peers.Peers, now: float) -> None:
         """Sets where both followers fetch their tables from."""
-        known = self._known
+        state = self._state
         relay = peer_exchange.find_relay(now)
-        age_s = known.freshness.age(now) or 0.0
+        age_s = state.freshness.age(now) or 0.0
         relays = relay is None
-        followed = relay if known.follows_relay(now) else None
+        followed = relay if state.follows_relay(now) else None
         configuration = _choose_source(
-            known.configuration_versions, followed, peer_exchange, now
+            state.configuration_versions, followed, peer_exchange, now
         )
         overdue = configuration.relay is None and age_s > _OVERDUE_S
         self._configuration.set_source(
             msgspec.structs.replace(configuration, at_once=overdue)
         )
         self._runners.set_source(
-            _choose_source(known.runners_versions, followed, peer_exchange, now)
+            _choose_source(state.runners_versions, followed, peer_exchange, now)
         )
         self._runners.set_wait(
             _RELAY_RUNNERS_WAIT_S if relays else _RUNNERS_WAIT_S
@@ -155,17 +155,17 @@
             self._store.decode_rows,
         )
         follower.when_changed(lambda changes: self.tables.take(table, changes))
-        follower.when_answered(self._known.record_store_answer)
-        follower.when_failed(self._known.record_store_failure)
+        follower.when_answered(self._state.record_store_answer)
+        follower.when_failed(self._state.record_store_failure)
         return follower
 
     def _connect(self) -> None:
         configuration, runners = self._configuration, self._runners
-        known = self._known
-        configuration.when_changed(known.take_configuration)
-        configuration.when_current(known.record_current)
+        state = self._state
+        configuration.when_changed(state.take_configuration)
+        configuration.when_current(state.record_current)
         runners.when_changed(
-            lambda changes: known.take_runners(changes, self._loop.time())
+            lambda changes: state.take_runners(changes, self._loop.time())
         )
         # The runners' call may be waiting on a connection that has broken
         # unnoticed; the configuration's calls are short enough to detect it.
--- a/pollenfork/gateway/tests/support.py
+++ b/pollenfork/gateway/tests/support.py
@@ -193,26 +193,26 @@
         connections.watch_registry(self.runners)
         granted = permits.Permits(loop, "127.0.0.1", "a")
         chooser = choice.Chooser(self.runners, rng, limits=granted)
-        found = evidence.Evidence(
+        findings = evidence.Evidence(
             self.runners, chooser.get_state, ids.DataCentre("a")
         )
-        suspected = quarantine.Quarantine(
+        request_quarantine = quarantine.Quarantine(
             self.runners,
             "127.0.0.1",
             lambda runner, at: chooser.get_state(runner).is_alive_since(at),
             loop.time,
         )
-        found.when_ended(suspected.record_absence)
+        findings.when_ended(request_quarantine.record_absence)
         self.deps = context.Dependencies(
             loop=loop,
             rng=rng,
             codec=Codec(),
             chooser=chooser,
-            evidence=found,
+            evidence=findings,
             crash_probes=crash_probes.CrashProbes(
-                connections, found, suspected, chooser.get_state
+                connections, findings, request_quarantine, chooser.get_state
             ),
-            request_quarantine=suspected,
+            request_quarantine=request_quarantine,
             limit_events=limit_events.LimitEvents(),
             permits=granted,
             record_started=self.begun.append,
--- a/pollenfork/gateway/tests/test_cluster_state.py
+++ b/pollenfork/gateway/tests/test_cluster_state.py
@@ -38,33 +38,33 @@
         return result.Ok(test_registry.make_runner(row.key))
 
 
-def make_known() -> cluster_state.ClusterState:
+def make_state() -> cluster_state.ClusterState:
     return cluster_state.ClusterState(Store(), revocation_s=5.0)
 
 
-def configure(known, version: int, row: int, through: int | None = None):
+def configure(state, version: int, row: int, through: int | None = None):
     rows = (catalogue.Row("c", b"%d" % version, row),)
-    known.take_configuration(catalogue.Changes(rows, through or row))
+    state.take_configuration(catalogue.Changes(rows, through or row))
 
 
-def list_runners(known) -> list[str]:
+def list_runners(state) -> list[str]:
     service = ids.ServiceName("s")
-    return [each.id for each in known.runners.list_accepting(service)]
+    return [each.id for each in state.runners.list_accepting(service)]
 
 
 def test_it_is_ready_once_both_tables_are_read_and_proven(caplog) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.readiness")
-    known = make_known()
+    state = make_state()
     stopping = []
-    checker = readiness.Readiness(known, lambda: bool(stopping))
+    checker = readiness.Readiness(state, lambda: bool(stopping))
     assert not checker.check(99.0)
-    configure(known, 3, 10)
-    known.record_current(100.0)
+    configure(state, 3, 10)
+    state.record_current(100.0)
     assert not checker.check(100.0)
-    known.take_runners(catalogue.Changes((), 10), 100.0)
+    state.take_runners(catalogue.Changes((), 10), 100.0)
     assert checker.check(100.0)
     assert not checker.check(104.0)
-    known.record_current(105.0)
+    state.record_current(105.0)
     assert checker.check(105.0)
     stopping.append(True)
     assert not checker.check(105.0)
@@ -82,31 +82,31 @@
 
 
 def test_a_configuration_never_goes_back() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    configure(known, 4, 11)
-    assert known.lookup.configuration.version == 5
+    state = make_state()
+    configure(state, 5, 10)
+    configure(state, 4, 11)
+    assert state.lookup.configuration.version == 5
 
 
 def test_a_configuration_that_cannot_be_read_changes_nothing() -> None:
-    known = make_known()
-    configure(known, 5, 10)
+    state = make_state()
+    configure(state, 5, 10)
     rows = (catalogue.Row("c", b"bad", 11),)
-    known.take_configuration(catalogue.Changes(rows, 11))
-    assert known.lookup.configuration.version == 5
+    state.take_configuration(catalogue.Changes(rows, 11))
+    assert state.lookup.configuration.version == 5
 
 
 def test_an_unreadable_entry_drops_only_its_own_runner(caplog) -> None:
-    known = make_known()
+    state = make_state()
     good = tuple(catalogue.Row(key, b"", 12) for key in "qrs")
-    known.take_runners(catalogue.Changes(good, 12), 0.0)
+    state.take_runners(catalogue.Changes(good, 12), 0.0)
     # This holds also while removed entries are kept for a grace period.
-    known.runners.keep_removed_until(5.0)
+    state.runners.keep_removed_until(5.0)
     bad = (catalogue.Row("r", b"bad", 13), catalogue.Row("new\n", b"bad", 14))
     fresh = catalogue.Row("t", b"", 15)
-    known.take_runners(catalogue.Changes((*bad, fresh), 15), 1.0)
-    assert list_runners(known) == ["q", "s", "t"]
-    assert known.refused_entries == {errors.EntryFault.NOT_DECODABLE: 2}
+    state.take_runners(catalogue.Changes((*bad, fresh), 15), 1.0)
+    assert list_runners(state) == ["q", "s", "t"]
+    assert state.refused_entries == {errors.EntryFault.NOT_DECODABLE: 2}
     assert "event=runner_unreadable runner=r row=13 reason=not_decodable" in (
         caplog.text
     )
@@ -114,92 +114,92 @@
 
 
 def test_a_runner_returns_once_its_entry_is_readable_again() -> None:
-    known = make_known()
+    state = make_state()
     for version, value in enumerate((b"", b"bad", b""), start=12):
         rows = (catalogue.Row("r", value, version),)
-        known.take_runners(catalogue.Changes(rows, version), 0.0)
-    assert list_runners(known) == ["r"]
+        state.take_runners(catalogue.Changes(rows, version), 0.0)
+    assert list_runners(state) == ["r"]
 
 
 def test_a_relays_proof_counts_only_for_versions_known_here() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    known.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
-    assert not known.freshness.trusts_keys(100.0)
+    state = make_state()
+    configure(state, 5, 10)
+    state.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
+    assert not state.freshness.trusts_keys(100.0)
     assert (
-        known.configuration_versions.is_newer_elsewhere
-        and not known.runners_versions.is_newer_elsewhere
+        state.configuration_versions.is_newer_elsewhere
+        and not state.runners_versions.is_newer_elsewhere
     )
-    configure(known, 6, 11)
-    known.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
-    assert known.freshness.trusts_keys(103.0)
-    assert not known.configuration_versions.is_newer_elsewhere
-    assert known.follows_relay(101.4)
-    assert not known.follows_relay(101.6)
+    configure(state, 6, 11)
+    state.record_store_status(messages.StoreStatus(11, 0, 0.2), 100.0, "a")
+    assert state.freshness.trusts_keys(103.0)
+    assert not state.configuration_versions.is_newer_elsewhere
+    assert state.follows_relay(101.4)
+    assert not state.follows_relay(101.6)
 
 
 def test_a_proof_of_an_older_version_still_counts() -> None:
-    known = make_known()
-    configure(known, 6, 11)
-    known.record_store_status(messages.StoreStatus(10, 0, 0.2), 100.0, "a")
-    assert known.freshness.trusts_keys(103.0)
+    state = make_state()
+    configure(state, 6, 11)
+    state.record_store_status(messages.StoreStatus(10, 0, 0.2), 100.0, "a")
+    assert state.freshness.trusts_keys(103.0)
 
 
 def test_a_change_that_does_not_arrive_from_peers_is_detected() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    known.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
-    assert not known.configuration_versions.is_behind(100.0)
-    assert not known.runners_versions.is_behind(100.0)
-    assert known.runners_versions.is_behind(100.6)
+    state = make_state()
+    configure(state, 5, 10)
+    state.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
+    assert not state.configuration_versions.is_behind(100.0)
+    assert not state.runners_versions.is_behind(100.0)
+    assert state.runners_versions.is_behind(100.6)
     # Reported once, and again only after a further interval.
-    assert not known.runners_versions.is_behind(100.7)
-    known.take_runners(catalogue.Changes((), 30), 100.8)
-    assert not known.runners_versions.is_behind(102.0)
+    assert not state.runners_versions.is_behind(100.7)
+    state.take_runners(catalogue.Changes((), 30), 100.8)
+    assert not state.runners_versions.is_behind(102.0)
 
 
 def test_older_announcements_do_not_replace_a_newer_version() -> None:
-    known = make_known()
-    configure(known, 5, 10)
+    state = make_state()
+    configure(state, 5, 10)
     now = 100.0
     while now < 100.4:
-        known.record_store_status(messages.StoreStatus(10, 30, 0.0), now, "a")
-        known.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
-        overdue = known.runners_versions.is_store_late(now)
+        state.record_store_status(messages.StoreStatus(10, 30, 0.0), now, "a")
+        state.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
+        overdue = state.runners_versions.is_store_late(now)
         now += 0.05
-    assert overdue and known.runners_versions.sender == "a"
-    known.take_runners(catalogue.Changes((), 30), now)
-    known.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
-    assert not known.runners_versions.is_newer_elsewhere
+    assert overdue and state.runners_versions.sender == "a"
+    state.take_runners(catalogue.Changes((), 30), now)
+    state.record_store_status(messages.StoreStatus(10, 20, 0.0), now, "b")
+    assert not state.runners_versions.is_newer_elsewhere
 
 
 def test_versions_alone_prove_nothing_about_age() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    known.record_store_versions(messages.StoreStatus(12, 30, 0.0), "c")
-    assert known.configuration_versions.is_newer_elsewhere
-    assert known.configuration_versions.sender == "c"
-    assert not known.follows_relay(100.0)
-    assert known.freshness.age(100.0) is None
+    state = make_state()
+    configure(state, 5, 10)
+    state.record_store_versions(messages.StoreStatus(12, 30, 0.0), "c")
+    assert state.configuration_versions.is_newer_elsewhere
+    assert state.configuration_versions.sender == "c"
+    assert not state.follows_relay(100.0)
+    assert state.freshness.age(100.0) is None
 
 
 def test_a_runner_found_missing_counts_as_a_change_for_peers() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    known.record_current(100.0)
+    state = make_state()
+    configure(state, 5, 10)
+    state.record_current(100.0)
     left = catalogue.Row("q", b"", 20, removed=True)
-    known.take_runners(catalogue.Changes((left,), 25), 100.0)
-    assert known.make_store_status(100.0).runners == 20
+    state.take_runners(catalogue.Changes((left,), 25), 100.0)
+    assert state.make_store_status(100.0).runners == 20
     gone = catalogue.Row("r", b"", 4, removed=True, missing=True)
-    known.take_runners(catalogue.Changes((gone,), 30), 100.0)
+    state.take_runners(catalogue.Changes((gone,), 30), 100.0)
     # Peers knew all changes up to 25, but not this removal.
-    assert known.make_store_status(100.0).runners == 30
+    assert state.make_store_status(100.0).runners == 30
 
 
 def test_forwarded_proof_never_gets_younger() -> None:
-    first, second = make_known(), make_known()
-    for known in (first, second):
-        configure(known, 5, 10)
+    first, second = make_state(), make_state()
+    for state in (first, second):
+        configure(state, 5, 10)
     assert second.make_store_status(100.0) is None
     first.record_current(99.0)
     assert first.make_store_status(100.5) == messages.StoreStatus(10, 0, 1.5)
@@ -216,76 +216,76 @@
 
 
 def test_own_proof_is_needed_once_peers_proof_is_old() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    assert not known.is_proven_by_others(100.0)
-    known.record_store_status(messages.StoreStatus(10, 0, 0.0), 100.0, "a")
-    assert known.is_proven_by_others(100.9)
-    assert not known.is_proven_by_others(101.1)
+    state = make_state()
+    configure(state, 5, 10)
+    assert not state.is_proven_by_others(100.0)
+    state.record_store_status(messages.StoreStatus(10, 0, 0.0), 100.0, "a")
+    assert state.is_proven_by_others(100.9)
+    assert not state.is_proven_by_others(101.1)
 
 
 def test_a_removed_entry_is_logged_with_its_grace_period(
     caplog,
 ) -> None:
     caplog.set_level(logging.INFO, "pollenfork.gateway.cluster_state")
-    known = make_known()
+    state = make_state()
     rows = (catalogue.Row("r", b"", 12),)
-    known.take_runners(catalogue.Changes(rows, 12), 98.0)
-    known.runners.keep_removed_until(102.0)
+    state.take_runners(catalogue.Changes(rows, 12), 98.0)
+    state.runners.keep_removed_until(102.0)
     rows = (catalogue.Row("r", b"", 13, removed=True),)
-    known.take_runners(catalogue.Changes(rows, 13), 100.5)
+    state.take_runners(catalogue.Changes(rows, 13), 100.5)
     assert "event=runner_kept runner=r row=13 for_ms=1500" in caplog.text
     assert "runner_gone" not in caplog.text
-    known.expire_runners(102.1)
+    state.expire_runners(102.1)
     assert "event=runner_gone runner=r row=- kept=True" in caplog.text
-    assert list_runners(known) == []
+    assert list_runners(state) == []
 
 
-def know_runner(known, now: float) -> None:
+def add_runner(state, now: float) -> None:
     rows = (catalogue.Row("r", b"", 12),)
-    known.take_runners(catalogue.Changes(rows, 12), now)
-    known.record_store_answer(now)
+    state.take_runners(catalogue.Changes(rows, 12), now)
+    state.record_store_answer(now)
 
 
-def remove_runner(known, now: float) -> None:
+def remove_runner(state, now: float) -> None:
     rows = (catalogue.Row("r", b"", 13, removed=True),)
-    known.take_runners(catalogue.Changes(rows, 13), now)
+    state.take_runners(catalogue.Changes(rows, 13), now)
 
 
 def test_entries_removed_in_an_outage_are_kept_until_well_after_it() -> None:
-    known = make_known()
-    know_runner(known, 100.0)
-    known.record_store_failure(104.6)
+    state = make_state()
+    add_runner(state, 100.0)
+    state.record_store_failure(104.6)
     # The store answered another instance first.
-    known.record_store_status(messages.StoreStatus(10, 13, 0.2), 105.0, "a")
-    remove_runner(known, 105.2)
-    known.expire_runners(106.9)
-    assert list_runners(known) == ["r"]
-    known.expire_runners(107.0)
-    assert list_runners(known) == []
+    state.record_store_status(messages.StoreStatus(10, 13, 0.2), 105.0, "a")
+    remove_runner(state, 105.2)
+    state.expire_runners(106.9)
+    assert list_runners(state) == ["r"]
+    state.expire_runners(107.0)
+    assert list_runners(state) == []
 
 
 def test_no_entry_is_kept_while_the_store_answers_others() -> None:
-    known = make_known()
-    know_runner(known, 100.0)
+    state = make_state()
+    add_runner(state, 100.0)
     for step in range(1, 20):
         moment = 100.0 + step * 0.5
-        known.record_store_failure(moment)
-        known.record_store_status(
+        state.record_store_failure(moment)
+        state.record_store_status(
             messages.StoreStatus(10, 12, 0.5), moment - 0.5, "a"
         )
-    known.record_store_answer(110.0)
-    remove_runner(known, 110.0)
-    assert list_runners(known) == []
+    state.record_store_answer(110.0)
+    remove_runner(state, 110.0)
+    assert list_runners(state) == []
 
 
 def test_an_overdue_change_stays_overdue_until_it_arrives() -> None:
-    known = make_known()
-    configure(known, 5, 10)
-    known.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
+    state = make_state()
+    configure(state, 5, 10)
+    state.record_store_status(messages.StoreStatus(10, 30, 0.0), 100.0, "a")
     overdue = []
     for step in range(30):
         now = 100.0 + step * 0.05
-        known.runners_versions.is_behind(now)
-        overdue.append(known.runners_versions.is_store_late(now))
+        state.runners_versions.is_behind(now)
+        overdue.append(state.runners_versions.is_store_late(now))
     assert overdue == sorted(overdue) and sum(overdue) > 20
--- a/pollenfork/gateway/tests/test_quarantine_page.py
+++ b/pollenfork/gateway/tests/test_quarantine_page.py
@@ -39,14 +39,14 @@
 
 
 def make_page():
-    suspected = quarantine.Quarantine(
+    request_quarantine = quarantine.Quarantine(
         registry.Registry(), "10.0.0.1", lambda runner, at: False, lambda: 20.0
     )
     for place in range(3):
         at = 10.0 + place
-        end = crashes.Crash(place, at, at + 0.5, 1)
-        suspected.tracker.record_crash(DIGEST, end, 15.0)
-    return quarantine_page.QuarantinePage(suspected, lambda: 20.0)
+        crash = crashes.Crash(place, at, at + 0.5, 1)
+        request_quarantine.tracker.record_crash(DIGEST, crash, 15.0)
+    return quarantine_page.QuarantinePage(request_quarantine, lambda: 20.0)
 
 
 def test_it_lists_digests_with_the_crashes_under_them() -> None:
--- a/pollenfork/gateway/tests/test_quarantine_store.py
+++ b/pollenfork/gateway/tests/test_quarantine_store.py
@@ -47,11 +47,11 @@
 def make_row(number: int, now: float) -> catalogue.Row:
     """Returns the row of a request whose last crash is `number` + 5 s old."""
     ended_at = now - 5.0 - number
-    case = crashes.CrashHistory(
+    history = crashes.CrashHistory(
         ids.RequestDigest(number), [crashes.Crash(1, ended_at - 1, ended_at, 1)]
     )
-    value = records.encode(case, now, 1_700_000_000.0)
-    return catalogue.Row(records.format_key(case.digest), value, 1)
+    value = records.encode(history, now, 1_700_000_000.0)
+    return catalogue.Row(records.format_key(history.digest), value, 1)
 
 
 def run_start(count: int, extra: list[catalogue.Row]):
@@ -61,13 +61,13 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         store = Store([make_row(n, now) for n in range(count)] + extra)
-        suspected = quarantine.Quarantine(
+        request_quarantine = quarantine.Quarantine(
             registry.Registry(), "10.0.0.1", lambda runner, at: False, loop.time
         )
         keeper = quarantine_store.QuarantineStore(
             settings.Address("127.0.0.1", 1),
             store,
-            suspected,
+            request_quarantine,
             lambda: 1_700_000_000.0,
         )
 
@@ -80,7 +80,7 @@
             await asyncio.sleep(0)
         task.cancel()
         return [
-            case.digest for case in suspected.list_quarantined()
+            history.digest for history in request_quarantine.list_quarantined()
         ], store.removed
 
     return asyncio.run(run())
@@ -113,11 +113,14 @@
     async def run():
         loop = asyncio.get_running_loop()
         store = Store([])
-        suspected = quarantine.Quarantine(
+        request_quarantine = quarantine.Quarantine(
             registry.Registry(), "10.0.0.1", lambda runner, at: False, loop.time
         )
         keeper = quarantine_store.QuarantineStore(
-            settings.Address("127.0.0.1", 1), store, suspected, lambda: 0.0
+            settings.Address("127.0.0.1", 1),
+            store,
+            request_quarantine,
+            lambda: 0.0,
         )
         answers = list(statuses)
 
@@ -127,15 +130,15 @@
 
         keeper._claims.call = call
         now = loop.time()
-        end = crashes.Crash(1, now - 40.0, now - 39.0, 1)
+        crash = crashes.Crash(1, now - 40.0, now - 39.0, 1)
         stored = crashes.CrashHistory(
-            ids.RequestDigest(7), [end], answered=True
+            ids.RequestDigest(7), [crash], answered=True
         )
-        suspected.tracker.restore(stored, now)
+        request_quarantine.tracker.restore(stored, now)
         granted = []
         for _ in statuses:
             granted.append(await keeper.claim_trial(stored.digest))
-            suspected.trials._claims[stored.digest].not_before = 0.0
+            request_quarantine.trials._claims[stored.digest].not_before = 0.0
         return granted, store.claimed
 
     return asyncio.run(run())
--- a/pollenfork/gateway/tests/test_removals.py
+++ b/pollenfork/gateway/tests/test_removals.py
@@ -83,25 +83,25 @@
         self.loop = asyncio.get_running_loop()
         self.standin = standin
         store = Decoder(standin)
-        self.known = cluster_state.ClusterState(store, 5.0)
+        self.state = cluster_state.ClusterState(store, 5.0)
         self.others = test_sources.Others()
         self.sources = sources.Sources(
-            address, store, self.known, random.Random(1)
+            address, store, self.state, random.Random(1)
         )
 
     @property
     def knows_of_the_removal(self) -> bool:
-        status = self.known.make_store_status(self.loop.time())
+        status = self.state.make_store_status(self.loop.time())
         return status is not None and status.runners == _REMOVED_AT
 
     @property
     def usable_runners(self) -> list[str]:
-        return test_cluster_state.list_runners(self.known)
+        return test_cluster_state.list_runners(self.state)
 
     def receive_status(self, version: int, age_s: float = 0.1) -> None:
         """Receives the status of a remote relay, which the store answers."""
         status = loads.StoreStatus(1, version, age_s)
-        self.known.record_store_status(
+        self.state.record_store_status(
             status, self.loop.time() - age_s, "elsewhere"
         )
 
--- a/pollenfork/gateway/tests/test_sources.py
+++ b/pollenfork/gateway/tests/test_sources.py
@@ -58,14 +58,14 @@
         store = Store(standin)
         self.others = Others()
         self.others.hosts["sender"] = address
-        self.known = cluster_state.ClusterState(store, 5.0)
+        self.state = cluster_state.ClusterState(store, 5.0)
         self.sources: sources.Sources
 
     def receive(
         self, version: int, age_s: float = 0.1, sender: str = "sender"
     ) -> None:
         status = loads.StoreStatus(version, version, age_s)
-        self.known.record_store_status(status, self.loop.time() - age_s, sender)
+        self.state.record_store_status(status, self.loop.time() - age_s, sender)
 
     async def choose_until(self, holds, limit_s: float = 5.0) -> float:
         """Calls `choose` periodically; returns seconds until `holds()`."""
@@ -92,11 +92,11 @@
         loads.Address(*server.sockets[0].getsockname()[:2]),
     )
     bench.sources = sources.Sources(
-        await standin.start(), Store(standin), bench.known, random.Random(1)
+        await standin.start(), Store(standin), bench.state, random.Random(1)
     )
     tasks = bench.sources.start()
     try:
-        await bench.choose_until(lambda: bench.known.lookup is not None)
+        await bench.choose_until(lambda: bench.state.lookup is not None)
         yield bench
     finally:
         for task in tasks:
@@ -105,7 +105,7 @@
 
 
 def read_version(bench: Bench) -> int:
-    return bench.known.lookup.configuration.version
+    return bench.state.lookup.configuration.version
 
 
 def change(bench: Bench, version: int, row: int) -> None:
@@ -131,9 +131,9 @@
         await bench.choose_until(lambda: read_version(bench) == 6)
         # The poller's proof counts here again, and is forwarded to others.
         bench.receive(9)
-        assert bench.known.freshness.age(bench.loop.time()) < 1.0
+        assert bench.state.freshness.age(bench.loop.time()) < 1.0
         assert (
-            bench.known.make_store_status(bench.loop.time()).configuration == 9
+            bench.state.make_store_status(bench.loop.time()).configuration == 9
         )
 
     run_scenario(scenario)
@@ -159,11 +159,11 @@
     async def scenario(bench):
         bench.others.poller = bench.address
         bench.receive(1, age_s=0.0)
-        before = bench.known.freshness.age(bench.loop.time())
+        before = bench.state.freshness.age(bench.loop.time())
         assert before < 0.5
         asked = len(bench.store.asked)
         await bench.choose_until(lambda: len(bench.store.asked) > asked + 1)
-        age_s = bench.known.freshness.age(bench.loop.time())
+        age_s = bench.state.freshness.age(bench.loop.time())
         assert age_s < 1.5
 
     run_scenario(scenario)
@@ -196,7 +196,7 @@
         bench.others.hosts["sender"] = loads.Address(_HOST, 1)
         bench.receive(9)
         # The change is overdue for long enough to ask the sender first.
-        while not bench.known.configuration_versions.is_store_late(
+        while not bench.state.configuration_versions.is_store_late(
             bench.loop.time()
         ):
             bench.sources.choose(bench.others)
