--- a/pollenfork/platform/tests/test_simulation.py
+++ b/pollenfork/platform/tests/test_simulation.py
@@ -153,11 +153,13 @@
 
 
 def test_confirmation_of_an_unknown_version_is_detected(monkeypatch) -> None:
-    def take_proof(self, proof, moment, sender):
-        self.take_versions(proof, sender)
+    def record_store_status(self, proof, moment, sender):
+        self.record_store_versions(proof, sender)
         self.freshness.record_current(moment)
 
-    monkeypatch.setattr(cluster_state.ClusterState, "take_proof", take_proof)
+    monkeypatch.setattr(
+        cluster_state.ClusterState, "record_store_status", record_store_status
+    )
     assert "false_proof" in list_rules([3, 8, 44, 56])
 
 
