--- a/benchmarks/settings_spread.py
+++ b/benchmarks/settings_spread.py
@@ -113,7 +113,7 @@
         self.platform = fake.FakePlatform(now, state)
         self._lost_reads = lost_reads
         self._rng = random.Random(-number - 1)
-        self.keeper = actor.Keeper(
+        self.keeper = actor.ActionExecutor(
             self.core, self.platform.table, now, metrics.Metrics(), fetch_copy
         )
         # The phase of each instance's polling differs, as starts do.
--- a/pollenfork/application.py
+++ b/pollenfork/application.py
@@ -314,7 +314,7 @@
         return front.Front(
             worker,
             self.metrics,
-            self.settings.read_lookups,
+            self.settings.get_lookups,
             self.is_ready,
             self._make_operator_app(),
             self._clock,
--- a/pollenfork/settings/actor.py
+++ b/pollenfork/settings/actor.py
@@ -75,7 +75,9 @@
         self._clock = now
         self._timers = timer
         self._core = core.Core(rng, now.monotonic())
-        self._keeper = Keeper(self._core, table, now, counters, fetch_copy)
+        self._keeper = ActionExecutor(
+            self._core, table, now, counters, fetch_copy
+        )
         self._actor: pykka.ActorRef | None = None
 
     def subscribe(self, subscriber: Subscriber) -> None:
@@ -115,7 +117,7 @@
         """The revision in force; 0 before there is one."""
         return self._core.revision
 
-    def read_lookups(self) -> snapshot.Snapshot | None:
+    def get_lookups(self) -> snapshot.Snapshot | None:
         """Returns the compiled tree in force, or None before the first."""
         in_force = self._core.in_force
         return in_force.lookups if in_force else None
@@ -130,7 +132,7 @@
         return copies.encode(in_force) if in_force else None
 
 
-class Keeper:
+class ActionExecutor:
     """Carries out what the core decides; used by one thread at a time."""
 
     def __init__(
@@ -156,11 +158,13 @@
                 self._act(self._core.tick(now))
                 self._export()
             case messages.PeerRevision():
-                self._core.hear_peer(message.instance, message.revision, now)
+                self._core.record_peer_revision(
+                    message.instance, message.revision, now
+                )
             case messages.PeerGone():
-                self._core.forget_peer(message.instance)
+                self._core.remove_peer(message.instance)
             case messages.TreeWritten():
-                self._act(self._core.take_write(message.tree, now))
+                self._act(self._core.handle_write(message.tree, now))
 
     def read_status(self) -> Status:
         """Returns revision and age."""
@@ -187,12 +191,12 @@
         previous = self._core.in_force or state.EMPTY
         read = store.read_tree(self._table, previous)
         if isinstance(read, result.Ok):
-            return self._core.take_read(read.ok_value, sent_at)
+            return self._core.handle_read(read.ok_value, sent_at)
         failure = read.err_value
         self._note_failure("table", failure)
         if isinstance(failure, errors.TableBehind):
-            return self._core.take_read(None, sent_at)
-        self._core.take_read_failure(sent_at)
+            return self._core.handle_read(None, sent_at)
+        self._core.handle_read_failure(sent_at)
         return []
 
     def _fetch(self, peer: ids.InstanceId) -> list[core.Action]:
@@ -206,7 +210,7 @@
         if isinstance(decoded, result.Err):
             self._note_failure(f"peer {peer}", decoded.err_value)
         now = self._clock.monotonic()
-        return self._core.take_copy(peer, decoded.ok(), now)
+        return self._core.handle_copy(peer, decoded.ok(), now)
 
     def _publish(self, action: core.Publish) -> None:
         tree = action.in_force
@@ -250,7 +254,7 @@
 
 
 class _Actor(pykka.ThreadingActor):
-    def __init__(self, keeper: Keeper) -> None:
+    def __init__(self, keeper: ActionExecutor) -> None:
         super().__init__()
         self._keeper = keeper
 
--- a/pollenfork/settings/changes.py
+++ b/pollenfork/settings/changes.py
@@ -67,7 +67,7 @@
     return subtree.revision if subtree else ids.Revision(0)
 
 
-def read_value(
+def get_value(
     tree: state.InForce, path: paths.SettingsPath
 ) -> result.Result[object, errors.NoSuchPath]:
     """Returns the JSON value at `path`, as it was written."""
@@ -99,7 +99,7 @@
     return _finish({change.path.subtree: body.ok_value}, (), tree)
 
 
-def list_puts(
+def build_rows(
     change: Change,
     planned: Plan,
     head_version: int,
@@ -168,7 +168,7 @@
     inner = change.path.inner
     if not inner:
         return result.Ok(change.value)
-    read = read_value(tree, paths.SettingsPath(change.path.subtree))
+    read = get_value(tree, paths.SettingsPath(change.path.subtree))
     if isinstance(read, result.Err):
         return read
     place = read.ok_value
@@ -207,7 +207,7 @@
     wanted = {paths.ROOT: whole["root"]}
     teams = msgspec.convert(whole.get("teams", {}), dict[str, object])
     for team, value in teams.items():
-        wanted[paths.name_team(team)] = value
+        wanted[paths.get_team_path(team)] = value
     changed = {
         path: value
         for path, value in wanted.items()
@@ -233,7 +233,7 @@
         del subtrees[path]
     ordered = [subtrees[path] for path in sorted(subtrees)]
     dropped = _list_dropped(tuple(changed), tree)
-    dropped += [rows.name_subtree_key(path) for path in removed]
+    dropped += [rows.make_subtree_key(path) for path in removed]
     compiled = state.compile_tree(revision, ordered, tree)
     return compiled.map(
         lambda after: Plan(written, removed, tuple(dropped), after)
@@ -256,7 +256,7 @@
         history=subtree.history,
         value=msgspec.Raw(subtree.read()),
     )
-    return edges.Put(rows.name_subtree_key(subtree.path), rows.encode(row))
+    return edges.Put(rows.make_subtree_key(subtree.path), rows.encode(row))
 
 
 def _put_history(
@@ -270,7 +270,7 @@
         at=at,
         value=msgspec.Raw(value),
     )
-    key = rows.name_history_key(path, tree.revision)
+    key = rows.make_history_key(path, tree.revision)
     return edges.Put(key, rows.encode(row))
 
 
@@ -278,7 +278,7 @@
     """Returns the keys of the history rows that make room for new ones."""
     known = [tree.subtrees[path] for path in written if path in tree.subtrees]
     return [
-        rows.name_history_key(subtree.path, subtree.history[0])
+        rows.make_history_key(subtree.path, subtree.history[0])
         for subtree in known
         if len(subtree.history) >= HISTORY_KEPT
     ]
--- a/pollenfork/settings/core.py
+++ b/pollenfork/settings/core.py
@@ -26,16 +26,16 @@
 `POLL_S`: one that was lost costs little, an outage costs the table no more
 than polling.
 """
-AHEAD_WINDOW_S = 2.0
+READ_SPREAD_S = 2.0
 """Instances that hear of a newer revision at once spread their reads so."""
-GATHER_S = 3.0
+DISCOVERY_S = 3.0
 """How long a restarted instance without the platform hears peers first."""
 
-FETCH_S = 5.0
+FETCH_TIMEOUT_S = 5.0
 """How long a peer's copy is waited for before another peer is asked."""
 
 
-PEER_REST_S = 5.0
+PEER_RETRY_DELAY_S = 5.0
 """How long a peer whose copy couldn't be had is left alone."""
 
 _MOST_DOUBLINGS = 3  # Eight times `FIRST_POLL_S` is past `POLL_S`.
@@ -111,7 +111,7 @@
             actions.append(ReadTable())
         return actions
 
-    def hear_peer(
+    def record_peer_revision(
         self, peer: ids.InstanceId, revision: ids.Revision, now: float
     ) -> None:
         """Notes the revision in force at a peer."""
@@ -120,15 +120,15 @@
         # Drawn once for each revision: the least of many draws, one for each
         # peer that tells of it, would bring all instances' reads together.
         if revision > max(newest, self.revision):
-            soon = now + self._rng.uniform(0, AHEAD_WINDOW_S)
+            soon = now + self._rng.uniform(0, READ_SPREAD_S)
             self._next_read = min(self._next_read, soon)
 
-    def forget_peer(self, peer: ids.InstanceId) -> None:
+    def remove_peer(self, peer: ids.InstanceId) -> None:
         """Drops a peer that can't be reached."""
         self._peers.pop(peer, None)
         self._resting.pop(peer, None)
 
-    def take_read(
+    def handle_read(
         self, found: state.InForce | None, now: float
     ) -> list[Action]:
         """Takes the answer of a read of the table.
@@ -150,16 +150,16 @@
             actions += self._fetch_from_best(now)
         return actions
 
-    def take_read_failure(self, now: float) -> None:
+    def handle_read_failure(self, now: float) -> None:
         """Takes a read of the table that failed; `now` is when it was sent."""
         self.platform_answers = False
         delay_s = min(POLL_S, FIRST_POLL_S * 2**self._failures)
         self._failures = min(self._failures + 1, _MOST_DOUBLINGS)
         self._next_read = min(self._next_read, now + self._spread(delay_s))
         if self._gather_until is None:
-            self._gather_until = now + GATHER_S
+            self._gather_until = now + DISCOVERY_S
 
-    def take_copy(
+    def handle_copy(
         self, peer: ids.InstanceId, found: state.InForce | None, now: float
     ) -> list[Action]:
         """Takes a peer's tree, or None where it couldn't be had."""
@@ -167,12 +167,12 @@
         known = self._peers.get(peer, ids.Revision(0))
         if found is None or found.revision < known:
             # Membership tells a revision once, so the peer is kept in mind.
-            self._resting[peer] = now + PEER_REST_S
+            self._resting[peer] = now + PEER_RETRY_DELAY_S
         if found is None:
             return []
         return self._adopt(found, Source.PEER, now)
 
-    def take_write(self, written: state.InForce, now: float) -> list[Action]:
+    def handle_write(self, written: state.InForce, now: float) -> list[Action]:
         """Takes the tree that a write through this instance has made."""
         actions = self._adopt(written, Source.WRITE, now)
         if written.revision == self.revision:
@@ -209,7 +209,7 @@
         if not ahead:
             return []
         _, best = max(ahead)
-        self._fetch_until = now + FETCH_S
+        self._fetch_until = now + FETCH_TIMEOUT_S
         return [FetchCopy(best)]
 
     def _draw_poll_s(self) -> float:
--- a/pollenfork/settings/paths.py
+++ b/pollenfork/settings/paths.py
@@ -49,12 +49,14 @@
     if steps[0] == ROOT:
         return result.Ok(SettingsPath(ROOT, tuple(steps[1:])))
     if steps[0] == _TEAMS and len(steps) > 1:
-        return result.Ok(SettingsPath(name_team(steps[1]), tuple(steps[2:])))
+        return result.Ok(
+            SettingsPath(get_team_path(steps[1]), tuple(steps[2:]))
+        )
     hint = "paths start with root/ or teams/NAME/"
     return result.Err(errors.NoSuchPath(detail=f"no path {text}: {hint}"))
 
 
-def name_team(team: str) -> str:
+def get_team_path(team: str) -> str:
     """Returns the path of a team's subtree."""
     return f"{_TEAMS}/{team}"
 
--- a/pollenfork/settings/rows.py
+++ b/pollenfork/settings/rows.py
@@ -112,16 +112,16 @@
     return result.Ok(row)
 
 
-def name_subtree_key(path: str) -> str:
+def make_subtree_key(path: str) -> str:
     """Returns the key of a subtree's row."""
     return _SUBTREES + path
 
 
-def name_history_prefix(path: str) -> str:
+def make_history_prefix(path: str) -> str:
     """Returns what the keys of a subtree's history rows start with."""
     return f"{_HISTORY}{path}/"
 
 
-def name_history_key(path: str, revision: ids.Revision) -> str:
+def make_history_key(path: str, revision: ids.Revision) -> str:
     """Returns the key of one history row; keys sort by revision."""
-    return f"{name_history_prefix(path)}{revision:012d}"
+    return f"{make_history_prefix(path)}{revision:012d}"
--- a/pollenfork/settings/schema.py
+++ b/pollenfork/settings/schema.py
@@ -38,7 +38,7 @@
         return result.Err((errors.Violation(path, str(error)),))
 
 
-def read_stored(
+def decode_stored(
     body: bytes, kind: type[T], path: str
 ) -> result.Result[T, errors.UnreadableRow]:
     """Returns stored JSON as `kind`, leaving out fields that it lacks.
--- a/pollenfork/settings/service.py
+++ b/pollenfork/settings/service.py
@@ -90,7 +90,7 @@
         tree = read.ok() or in_force
         if tree is None:
             return result.Err(_explain(read.unwrap_err()))
-        value = changes.read_value(tree, found.ok_value)
+        value = changes.get_value(tree, found.ok_value)
         if isinstance(value, result.Err):
             return value
         source = messages.Source
--- a/pollenfork/settings/state.py
+++ b/pollenfork/settings/state.py
@@ -147,4 +147,4 @@
     except zlib.error as error:
         detail = f"{subtree.path}: {error}"
         return result.Err(errors.UnreadableRow(detail=detail))
-    return schema.read_stored(value, kind, subtree.path)
+    return schema.decode_stored(value, kind, subtree.path)
--- a/pollenfork/settings/store.py
+++ b/pollenfork/settings/store.py
@@ -105,7 +105,7 @@
     table: edges.TableService, path: str
 ) -> result.Result[tuple[rows.HistoryRow, ...], Failure]:
     """Returns the kept writes of one subtree, oldest first."""
-    read = _scan(table, rows.name_history_prefix(path))
+    read = _scan(table, rows.make_history_prefix(path))
     if isinstance(read, result.Err):
         return read
     entries = []
@@ -134,11 +134,11 @@
     table: edges.TableService, paths: list[str]
 ) -> result.Result[list[state.Subtree], Failure]:
     if len(paths) >= _SCAN_FROM:
-        scanned = _scan(table, rows.name_subtree_key(""))
+        scanned = _scan(table, rows.make_subtree_key(""))
         return scanned.and_then(lambda found: _decode_all(found, set(paths)))
     found: list[edges.Row] = []
     for path in paths:
-        read = table.read(rows.name_subtree_key(path))
+        read = table.read(rows.make_subtree_key(path))
         if isinstance(read, result.Err):
             return read
         if read.ok_value is not None:
--- a/pollenfork/settings/tests/test_actor.py
+++ b/pollenfork/settings/tests/test_actor.py
@@ -68,7 +68,7 @@
     message = rig.published.get(timeout=10)
     assert message.tree.revision == 1
     assert message.lookups.find_caller("dispatch-key").team == "linework"
-    assert rig.settings.read_lookups() is message.lookups
+    assert rig.settings.get_lookups() is message.lookups
     assert rig.settings.read_status().age_s == 0.0
 
 
@@ -92,7 +92,7 @@
     rig.settle()
     assert rig.settings.in_force is None
     for _ in range(3):
-        rig.advance(core.GATHER_S)
+        rig.advance(core.DISCOVERY_S)
         rig.settle()
     assert rig.settings.revision == 1
     assert not rig.settings.read_status().platform_answers
@@ -162,6 +162,6 @@
     rig.advance(0.1)
     rig.settle()
     assert rig.settings.encode_copy() is None
-    assert rig.settings.read_lookups() is None
+    assert rig.settings.get_lookups() is None
     assert rig.settings.revision == state.EMPTY.revision
     rig.settings.stop()
--- a/pollenfork/settings/tests/test_core.py
+++ b/pollenfork/settings/tests/test_core.py
@@ -17,25 +17,25 @@
 def make_core(revision: int = 0) -> core.Core:
     made = core.Core(random.Random(1), 0.0)
     if revision:
-        made.take_read(make_tree(revision), 0.0)
+        made.handle_read(make_tree(revision), 0.0)
     return made
 
 
 def test_no_source_brings_an_older_tree_back() -> None:
     made = make_core(5)
     older = make_tree(4)
-    assert made.take_read(older, 1.0) == []
-    assert made.take_copy("peer", older, 1.0) == []
-    assert made.take_write(older, 1.0) == []
+    assert made.handle_read(older, 1.0) == []
+    assert made.handle_copy("peer", older, 1.0) == []
+    assert made.handle_write(older, 1.0) == []
     assert made.revision == 5
 
 
 def test_every_source_brings_a_newer_tree() -> None:
     made = make_core(5)
     found = [
-        made.take_read(make_tree(6), 1.0),
-        made.take_copy("peer", make_tree(7), 1.0),
-        made.take_write(make_tree(8), 1.0),
+        made.handle_read(make_tree(6), 1.0),
+        made.handle_copy("peer", make_tree(7), 1.0),
+        made.handle_write(make_tree(8), 1.0),
     ]
     assert [actions[0].source for actions in found] == list(core.Source)
     assert made.revision == 8
@@ -60,21 +60,21 @@
         now = step / 10
         if core.ReadTable() in made.tick(now):
             reads.append(now)
-            made.take_read_failure(now)
+            made.handle_read_failure(now)
     gaps = [after - before for before, after in itertools.pairwise(reads)]
     for gap, mean in zip(gaps, [1.0, 2.0, 4.0, 5.0, 5.0], strict=False):
         assert abs(gap - mean) <= core.POLL_JITTER * mean + 0.1
     assert len(gaps) >= 5
-    made.take_read(make_tree(5), 40.0)
-    made.take_read_failure(40.0)
+    made.handle_read(make_tree(5), 40.0)
+    made.handle_read_failure(40.0)
     assert core.ReadTable() in made.tick(40.0 + 1.2)
 
 
 def test_a_peer_ahead_brings_the_next_read_forward() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 6, 0.5)
-    assert core.ReadTable() in made.tick(0.5 + core.AHEAD_WINDOW_S)
+    made.record_peer_revision("peer", 6, 0.5)
+    assert core.ReadTable() in made.tick(0.5 + core.READ_SPREAD_S)
 
 
 def test_many_peers_ahead_bring_the_next_read_no_further_forward() -> None:
@@ -83,7 +83,7 @@
         made = make_core(5)
         made.tick(0.0)
         for number in range(peers):
-            made.hear_peer(f"peer-{number}", 6, 0.5)
+            made.record_peer_revision(f"peer-{number}", 6, 0.5)
         steps = [0.5 + step / 100 for step in range(250)]
         reads.append(
             next(now for now in steps if core.ReadTable() in made.tick(now))
@@ -94,100 +94,100 @@
 def test_a_peer_level_or_behind_brings_nothing_forward() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 5, 0.5)
-    made.hear_peer("other", 4, 0.5)
-    assert made.tick(0.5 + core.AHEAD_WINDOW_S) == []
+    made.record_peer_revision("peer", 5, 0.5)
+    made.record_peer_revision("other", 4, 0.5)
+    assert made.tick(0.5 + core.READ_SPREAD_S) == []
 
 
 def test_a_peer_ahead_is_asked_only_while_the_platform_is_away() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 7, 0.1)
-    made.hear_peer("other", 6, 0.1)
+    made.record_peer_revision("peer", 7, 0.1)
+    made.record_peer_revision("other", 6, 0.1)
     assert core.FetchCopy("peer") not in made.tick(0.1)
-    made.take_read_failure(0.2)
+    made.handle_read_failure(0.2)
     assert made.tick(0.2) == [core.FetchCopy("peer")]
     assert made.tick(0.3) == []
-    made.take_copy("peer", None, 0.4)
+    made.handle_copy("peer", None, 0.4)
     assert made.tick(0.4) == [core.FetchCopy("other")]
 
 
 def test_a_peer_whose_copy_failed_is_asked_again_without_its_voice() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 7, 0.1)
-    made.take_read_failure(0.2)
+    made.record_peer_revision("peer", 7, 0.1)
+    made.handle_read_failure(0.2)
     assert core.FetchCopy("peer") in made.tick(0.2)
-    made.take_copy("peer", None, 0.3)
+    made.handle_copy("peer", None, 0.3)
     assert core.FetchCopy("peer") not in made.tick(0.4)
-    later = 0.3 + core.PEER_REST_S
+    later = 0.3 + core.PEER_RETRY_DELAY_S
     assert core.FetchCopy("peer") in made.tick(later)
 
 
 def test_a_peer_that_gives_less_than_it_said_is_left_alone() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 7, 0.1)
-    made.take_read_failure(0.2)
+    made.record_peer_revision("peer", 7, 0.1)
+    made.handle_read_failure(0.2)
     made.tick(0.2)
-    made.take_copy("peer", make_tree(6), 0.3)
+    made.handle_copy("peer", make_tree(6), 0.3)
     assert made.revision == 6
     assert core.FetchCopy("peer") not in made.tick(0.4)
 
 
 def test_a_table_that_lags_behind_a_peer_is_made_up_for() -> None:
     made = make_core(5)
-    made.hear_peer("peer", 7, 0.1)
-    assert made.take_read(make_tree(6), 0.2)[-1] == core.FetchCopy("peer")
-    assert made.take_read(None, 9.0) == [core.FetchCopy("peer")]
+    made.record_peer_revision("peer", 7, 0.1)
+    assert made.handle_read(make_tree(6), 0.2)[-1] == core.FetchCopy("peer")
+    assert made.handle_read(None, 9.0) == [core.FetchCopy("peer")]
 
 
 def test_a_restart_without_the_platform_hears_peers_before_it_asks() -> None:
     made = make_core()
-    made.take_read_failure(0.0)
-    made.hear_peer("behind", 4, 0.1)
-    assert core.FetchCopy("behind") not in made.tick(core.GATHER_S - 0.1)
-    made.hear_peer("newest", 9, core.GATHER_S - 0.1)
+    made.handle_read_failure(0.0)
+    made.record_peer_revision("behind", 4, 0.1)
+    assert core.FetchCopy("behind") not in made.tick(core.DISCOVERY_S - 0.1)
+    made.record_peer_revision("newest", 9, core.DISCOVERY_S - 0.1)
     assert made.in_force is None
-    assert core.FetchCopy("newest") in made.tick(core.GATHER_S)
-    made.take_copy("newest", make_tree(9), core.GATHER_S)
+    assert core.FetchCopy("newest") in made.tick(core.DISCOVERY_S)
+    made.handle_copy("newest", make_tree(9), core.DISCOVERY_S)
     assert made.revision == 9
 
 
 def test_a_peer_that_is_gone_is_not_asked() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 7, 0.1)
-    made.take_read_failure(0.2)
-    made.forget_peer("peer")
+    made.record_peer_revision("peer", 7, 0.1)
+    made.handle_read_failure(0.2)
+    made.remove_peer("peer")
     assert made.tick(0.2) == []
 
 
 def test_a_copy_that_never_comes_is_asked_for_again() -> None:
     made = make_core(5)
     made.tick(0.0)
-    made.hear_peer("peer", 7, 0.1)
-    made.take_read_failure(0.2)
+    made.record_peer_revision("peer", 7, 0.1)
+    made.handle_read_failure(0.2)
     assert core.FetchCopy("peer") in made.tick(0.2)
-    later = 0.2 + core.FETCH_S
+    later = 0.2 + core.FETCH_TIMEOUT_S
     assert core.FetchCopy("peer") in made.tick(later)
 
 
 def test_age_counts_from_the_last_proof_of_being_newest() -> None:
     made = make_core()
     assert made.age_s(1.0) is None
-    made.take_read(make_tree(5), 1.0)
+    made.handle_read(make_tree(5), 1.0)
     assert made.age_s(4.0) == 3.0
-    made.take_read_failure(5.0)
-    made.take_read(None, 5.0)
-    made.take_read(make_tree(4), 5.0)
+    made.handle_read_failure(5.0)
+    made.handle_read(None, 5.0)
+    made.handle_read(make_tree(4), 5.0)
     assert made.age_s(6.0) == 5.0
-    made.take_read(make_tree(5), 7.0)
-    made.take_read(make_tree(5), 2.0)
+    made.handle_read(make_tree(5), 7.0)
+    made.handle_read(make_tree(5), 2.0)
     assert made.age_s(8.0) == 1.0
 
 
 def test_an_empty_table_puts_nothing_in_force() -> None:
     made = make_core()
-    assert made.take_read(state.EMPTY, 1.0) == []
+    assert made.handle_read(state.EMPTY, 1.0) == []
     assert made.in_force is None
--- a/pollenfork/settings/tests/test_machine.py
+++ b/pollenfork/settings/tests/test_machine.py
@@ -56,7 +56,7 @@
         now = self.site.clock.monotonic()
         self.core = core.Core(rng, now)
         self.published: list[int] = []
-        self.keeper = actor.Keeper(
+        self.keeper = actor.ActionExecutor(
             self.core,
             self.table,
             self.site.clock,
@@ -214,7 +214,7 @@
         late, instance.late_read = instance.late_read, None
         if late is not None:
             now = instance.site.clock.monotonic()
-            instance.keeper._act(instance.core.take_read(late, now))
+            instance.keeper._act(instance.core.handle_read(late, now))
 
     @stateful.rule(number=INSTANCES, peer=INSTANCES)
     def start_a_slow_copy(self, number: int, peer: int) -> None:
@@ -231,7 +231,7 @@
             previous = instance.core.in_force or state.EMPTY
             found = copies.decode(late[1], previous).unwrap()
             now = instance.site.clock.monotonic()
-            actions = instance.core.take_copy(late[0], found, now)
+            actions = instance.core.handle_copy(late[0], found, now)
             instance.keeper._act(actions)
 
     @stateful.rule(number=INSTANCES)
@@ -249,7 +249,7 @@
         for peer in peers:
             if peer.reachable:
                 instance.hear(peer)
-        instance.pass_time(core.GATHER_S + 0.1)
+        instance.pass_time(core.DISCOVERY_S + 0.1)
         held = [peer.core.revision for peer in peers if peer.reachable]
         assert instance.core.revision == max(held, default=0)
 
@@ -280,7 +280,7 @@
         found = self.table.rows
         for revision, (path, write_id) in self.accepted.items():
             subtree = find_subtree(path)
-            row = found[rows.name_history_key(subtree, revision)]
+            row = found[rows.make_history_key(subtree, revision)]
             history = rows.decode(row.value, rows.HistoryRow).unwrap()
             assert history.write_id == write_id
 
--- a/pollenfork/settings/tests/test_writer.py
+++ b/pollenfork/settings/tests/test_writer.py
@@ -218,7 +218,7 @@
     without = {"root": support.ROOT, "teams": {"ledger": support.LEDGER}}
     written = site.write("", without, 1, write_id="w-2").unwrap()
     assert list(written.tree.subtrees) == ["root", "teams/ledger"]
-    assert rows.name_subtree_key("teams/linework") not in site.table.rows
+    assert rows.make_subtree_key("teams/linework") not in site.table.rows
     assert written.tree.subtrees["teams/ledger"].revision == 1
     assert store.read_tree(site.table, state.EMPTY).unwrap().revision == 2
     again = site.write("", without, 2, write_id="w-3").unwrap()
--- a/pollenfork/settings/writer.py
+++ b/pollenfork/settings/writer.py
@@ -20,7 +20,7 @@
 
 _LOG = logging.getLogger(__name__)
 
-WRITE_S = 10.0
+WRITE_TIMEOUT_S = 10.0
 """How long one write is tried before its caller is told."""
 _FIRST_WAIT_S = 0.05
 _LONGEST_WAIT_S = 1.0
@@ -40,7 +40,7 @@
     repeated: bool = False
 
 
-class _Base(msgspec.Struct, frozen=True):
+class _TableState(msgspec.Struct, frozen=True):
     """What the table holds as a write begins."""
 
     head: store.Head
@@ -86,7 +86,7 @@
         `WriteIdReused` say no; `NotWritten` had no effect and will have none;
         after `WriteUnknown` the same write id may be sent again safely.
         """
-        outcome = _Run(self, change).run()
+        outcome = _WriteOperation(self, change).run()
         if isinstance(outcome, result.Ok):
             _LOG.info(
                 "event=settings_written path=%s revision=%s write=%s",
@@ -104,7 +104,7 @@
         return outcome
 
 
-class _Run:
+class _WriteOperation:
     """One write, from its first read to its known fate."""
 
     def __init__(self, writer: Writer, change: changes.Change) -> None:
@@ -112,7 +112,7 @@
         self._table = writer._table
         self._clock = writer._clock
         self._change = change
-        self._deadline = self._clock.monotonic() + WRITE_S
+        self._deadline = self._clock.monotonic() + WRITE_TIMEOUT_S
         self._waited = 0
         self._may_have_effect = False
         self._last_failure: store.Failure | None = None
@@ -136,7 +136,7 @@
                 return committed
         return self._give_up()
 
-    def _read_base(self) -> result.Result[_Base, store.Failure]:
+    def _read_base(self) -> result.Result[_TableState, store.Failure]:
         head = store.read_head(self._table)
         if isinstance(head, result.Err):
             return head
@@ -152,10 +152,10 @@
         found = writes.ok_value
         if found and found[-1].revision > head.ok_value.row.revision:
             return result.Err(errors.TreeMoving(detail="a write came between"))
-        return result.Ok(_Base(head.ok_value, tree.ok_value, found))
+        return result.Ok(_TableState(head.ok_value, tree.ok_value, found))
 
     def _settle(
-        self, base: _Base
+        self, base: _TableState
     ) -> result.Result[Accepted, errors.SettingsFailure] | None:
         """Returns the write's fate where it is plain without a commit."""
         change = self._change
@@ -185,7 +185,7 @@
         return result.Ok(Accepted(record.revision, tree, repeated=True))
 
     def _commit(
-        self, base: _Base, planned: changes.Plan
+        self, base: _TableState, planned: changes.Plan
     ) -> result.Result[Accepted, errors.SettingsFailure] | None:
         """Commits, or returns None where the table has to be read again.
 
@@ -210,8 +210,10 @@
             self._pause(failure)
         return self._give_up()
 
-    def _build(self, base: _Base, planned: changes.Plan) -> edges.Transaction:
-        puts, deletes = changes.list_puts(
+    def _build(
+        self, base: _TableState, planned: changes.Plan
+    ) -> edges.Transaction:
+        puts, deletes = changes.build_rows(
             self._change,
             planned,
             base.head.version,
