--- a/pollenfork/settings/accounts.py
+++ b/pollenfork/settings/accounts.py
@@ -1,9 +1,9 @@
-"""Client accounts packed for memory: found by the digest of their key.
+"""Stores client accounts compactly and finds them by key digest.
 
-Held as objects, 42,000 accounts take more memory than an entry instance's
-whole budget for control leaves (benchmarks/settings_size.py). Here each
-team's accounts are one MessagePack blob, and an account is decoded when a
-request looks it up.
+As Python objects, 42,000 accounts exceed the memory that an entry instance
+has for its control data (benchmarks/settings_size.py). Each team's accounts
+are therefore one MessagePack blob, and an account is decoded when a request
+looks it up.
 """
 
 from array import array
@@ -17,11 +17,11 @@
 
 _NUMBER_BITS = 24
 _NUMBER_MASK = (1 << _NUMBER_BITS) - 1
-_PREFIX_DIGITS = 10  # 40 bits of the digest, beside 24 of the number.
+_PREFIX_DIGITS = 10  # 40 bits of the digest and 24 of the number.
 
 
 class PackedAccount(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One account as packed."""
+    """One account in its MessagePack form."""
 
     name: ids.AccountId
     digest: bytes
@@ -30,7 +30,7 @@
     max_in_flight: int
 
     def unpack(self) -> model.Account:
-        """Returns the account as the rest of the program knows it."""
+        """Returns the account as a settings model."""
         return model.Account(
             key_sha256=self.digest.hex(),
             classes=self.classes,
@@ -44,7 +44,7 @@
 
 
 class AccountPack:
-    """The accounts of one team; immutable."""
+    """The encoded accounts of one team; immutable."""
 
     def __init__(self, accounts: Mapping[ids.AccountId, model.Account]) -> None:
         self._ends = array("I")
@@ -53,7 +53,7 @@
         for name, account in accounts.items():
             blob += _ENCODER.encode(_pack(name, account))
             self._ends.append(len(blob))
-            self.prefixes.append(_take_prefix(account.key_sha256))
+            self.prefixes.append(_parse_prefix(account.key_sha256))
         self._blob = bytes(blob)
 
     def __len__(self) -> int:
@@ -61,19 +61,19 @@
         return len(self._ends)
 
     def read(self, number: int) -> PackedAccount:
-        """Returns the account at `number`, counted from 0."""
+        """Decodes the account at index `number`."""
         start = self._ends[number - 1] if number else 0
         return _DECODER.decode(self._blob[start : self._ends[number]])
 
 
 class AccountIndex:
-    """Finds an account of any team by the digest of its key; immutable."""
+    """Maps key digests to the accounts of all teams; immutable."""
 
     def __init__(self, packs: Mapping[ids.Team, AccountPack]) -> None:
         self._teams = tuple(packs)
         self._packs = tuple(packs.values())
-        self._starts = array("I", _sum_lengths(self._packs))
-        self._codes = array("Q", sorted(_number_all(self._packs)))
+        self._starts = array("I", _list_starts(self._packs))
+        self._codes = array("Q", sorted(_list_codes(self._packs)))
 
     def __len__(self) -> int:
         """Returns how many accounts there are."""
@@ -81,23 +81,23 @@
 
     def find(self, digest: str) -> tuple[ids.Team, PackedAccount] | None:
         """Returns the account whose key has this SHA-256 hex digest."""
-        prefix = _take_prefix(digest)
+        prefix = _parse_prefix(digest)
         wanted = bytes.fromhex(digest)
-        place = bisect.bisect_left(self._codes, prefix << _NUMBER_BITS)
-        while place < len(self._codes):
-            code = self._codes[place]
+        position = bisect.bisect_left(self._codes, prefix << _NUMBER_BITS)
+        while position < len(self._codes):
+            code = self._codes[position]
             if code >> _NUMBER_BITS != prefix:
                 return None
             team, account = self._read(code & _NUMBER_MASK)
             if account.digest == wanted:
                 return team, account
-            place += 1
+            position += 1
         return None
 
     def _read(self, number: int) -> tuple[ids.Team, PackedAccount]:
-        place = bisect.bisect_right(self._starts, number) - 1
-        account = self._packs[place].read(number - self._starts[place])
-        return self._teams[place], account
+        position = bisect.bisect_right(self._starts, number) - 1
+        account = self._packs[position].read(number - self._starts[position])
+        return self._teams[position], account
 
 
 def _pack(name: ids.AccountId, account: model.Account) -> PackedAccount:
@@ -110,18 +110,18 @@
     )
 
 
-def _take_prefix(digest: str) -> int:
+def _parse_prefix(digest: str) -> int:
     return int(digest[:_PREFIX_DIGITS], 16)
 
 
-def _sum_lengths(packs: Iterable[AccountPack]) -> Iterator[int]:
+def _list_starts(packs: Iterable[AccountPack]) -> Iterator[int]:
     start = 0
     for pack in packs:
         yield start
         start += len(pack)
 
 
-def _number_all(packs: Iterable[AccountPack]) -> Iterator[int]:
+def _list_codes(packs: Iterable[AccountPack]) -> Iterator[int]:
     number = 0
     for pack in packs:
         for prefix in pack.prefixes:
--- a/pollenfork/settings/actor.py
+++ b/pollenfork/settings/actor.py
@@ -1,4 +1,4 @@
-"""Keeps the settings in force at this instance up to date."""
+"""Runs the actor that keeps this instance's settings up to date."""
 
 from collections.abc import Callable
 import contextlib
@@ -29,7 +29,7 @@
 TICK_S = 0.25
 
 FetchCopy = Callable[[ids.InstanceId], result.Result[bytes, failures.Failure]]
-"""Asks a peer for its tree, as `Settings.encode_copy` returns it there."""
+"""Fetches a peer's tree, in the encoding of `Settings.encode_copy`."""
 Subscriber = Callable[[messages.TreeInForce], None]
 
 
@@ -37,10 +37,10 @@
     """The settings in force at this instance.
 
     Attributes:
-        revision: 0 while none is in force.
-        age_s: Seconds since it was last known to be the newest; None while
-            none is in force.
-        in_force_s: Seconds since it came into force.
+        revision: 0 if none is in force.
+        age_s: Seconds since the tree was last confirmed to be the newest; None
+            if none is in force.
+        in_force_s: Seconds since the tree came into force.
         platform_answers: Whether the last read of the table succeeded.
     """
 
@@ -51,7 +51,7 @@
 
 
 class Settings:
-    """The thread-safe front of the settings in force."""
+    """Thread-safe access to the settings in force."""
 
     def __init__(
         self,
@@ -62,46 +62,46 @@
         counters: metrics.Metrics,
         fetch_copy: FetchCopy,
     ) -> None:
-        """Wires the settings of one instance.
+        """Creates the settings of one instance; `start` starts the actor.
 
         Args:
             table: The platform's table.
             now: The clock.
-            rng: Spreads the reads of many instances.
-            timer: Drives the polling.
-            counters: Where revision, age and failures are kept.
-            fetch_copy: Asks a peer for its tree.
+            rng: Jitters polling, so that instances do not read in step.
+            timer: Schedules the ticks.
+            counters: Metrics for revision, age and failures.
+            fetch_copy: Fetches a peer's tree.
         """
         self._clock = now
         self._timers = timer
         self._core = core.Core(rng, now.monotonic())
-        self._keeper = ActionExecutor(
+        self._executor = ActionExecutor(
             self._core, table, now, counters, fetch_copy
         )
         self._actor: pykka.ActorRef | None = None
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Calls `subscriber` with every tree that comes into force.
+        """Registers a callback for every tree that comes into force.
 
-        It is called by the actor's thread and must return at once. Call this
+        The callback runs on the actor's thread and must not block. Call this
         before `start`.
         """
-        self._keeper.subscribers.append(subscriber)
+        self._executor.subscribers.append(subscriber)
 
     def start(self) -> None:
-        """Starts the actor; the first read of the table follows at once."""
-        self._actor = _Actor.start(self._keeper)
+        """Starts the actor; the first tick reads the table."""
+        self._actor = _Actor.start(self._executor)
         self._timers.every(TICK_S, lambda: self.report(messages.Tick()))
 
     def stop(self) -> None:
-        """Ends the actor; the tree in force stays readable."""
+        """Stops the actor; the tree in force stays readable."""
         if self._actor:
             self._actor.stop()
 
     def report(self, message: messages.Message) -> None:
-        """Tells of a peer, a write or the time; returns at once.
+        """Sends a message to the actor without waiting for it.
 
-        After `stop` nothing follows from it.
+        Messages are ignored after `stop`.
         """
         if self._actor:
             with contextlib.suppress(pykka.ActorDeadError):
@@ -109,31 +109,31 @@
 
     @property
     def in_force(self) -> state.InForce | None:
-        """The tree in force, or None before the first."""
+        """The tree in force, or None if there is none yet."""
         return self._core.in_force
 
     @property
     def revision(self) -> ids.Revision:
-        """The revision in force; 0 before there is one."""
+        """The revision in force; 0 if there is none yet."""
         return self._core.revision
 
     def get_lookups(self) -> snapshot.Snapshot | None:
-        """Returns the compiled tree in force, or None before the first."""
+        """Returns the compiled tree in force, or None if there is none."""
         in_force = self._core.in_force
         return in_force.lookups if in_force else None
 
     def read_status(self) -> Status:
-        """Returns revision and age, for metrics and operators."""
-        return self._keeper.read_status()
+        """Returns revision and age of the settings in force."""
+        return self._executor.read_status()
 
     def encode_copy(self) -> bytes | None:
-        """Returns the tree in force for a peer, or None before the first."""
+        """Encodes the tree in force for a peer; None if there is none."""
         in_force = self._core.in_force
         return copies.encode(in_force) if in_force else None
 
 
 class ActionExecutor:
-    """Carries out what the core decides; used by one thread at a time."""
+    """Runs the actions that the core returns; not thread-safe."""
 
     def __init__(
         self,
@@ -151,11 +151,11 @@
         self._fetch_copy = fetch_copy
 
     def handle(self, message: messages.Message) -> None:
-        """Takes one message and does what follows from it."""
+        """Passes one message to the core and runs the resulting actions."""
         now = self._clock.monotonic()
         match message:
             case messages.Tick():
-                self._act(self._core.tick(now))
+                self._run_actions(self._core.tick(now))
                 self._export()
             case messages.PeerRevision():
                 self._core.record_peer_revision(
@@ -164,7 +164,7 @@
             case messages.PeerGone():
                 self._core.remove_peer(message.instance)
             case messages.TreeWritten():
-                self._act(self._core.handle_write(message.tree, now))
+                self._run_actions(self._core.handle_write(message.tree, now))
 
     def read_status(self) -> Status:
         """Returns revision and age."""
@@ -176,13 +176,13 @@
             platform_answers=self._core.platform_answers,
         )
 
-    def _act(self, actions: list[core.Action]) -> None:
+    def _run_actions(self, actions: list[core.Action]) -> None:
         for action in actions:
             match action:
                 case core.ReadTable():
-                    self._act(self._read_table())
+                    self._run_actions(self._read_table())
                 case core.FetchCopy():
-                    self._act(self._fetch(action.peer))
+                    self._run_actions(self._fetch(action.peer))
                 case core.Publish():
                     self._publish(action)
 
@@ -193,7 +193,7 @@
         if isinstance(read, result.Ok):
             return self._core.handle_read(read.ok_value, sent_at)
         failure = read.err_value
-        self._note_failure("table", failure)
+        self._record_failure("table", failure)
         if isinstance(failure, errors.TableBehind):
             return self._core.handle_read(None, sent_at)
         self._core.handle_read_failure(sent_at)
@@ -208,7 +208,7 @@
         else:
             decoded = fetched
         if isinstance(decoded, result.Err):
-            self._note_failure(f"peer {peer}", decoded.err_value)
+            self._record_failure(f"peer {peer}", decoded.err_value)
         now = self._clock.monotonic()
         return self._core.handle_copy(peer, decoded.ok(), now)
 
@@ -219,7 +219,7 @@
             try:
                 subscriber(message)
             except Exception:
-                # The other subscribers need the tree all the same.
+                # One failing subscriber must not keep the tree from the rest.
                 _LOG.exception("event=settings_subscriber_failed")
         self._metrics.count(
             "pollenfork_settings_adopted_total", source=action.source.value
@@ -232,7 +232,7 @@
             tree.lookups.account_count,
         )
 
-    def _note_failure(self, source: str, failure: failures.Failure) -> None:
+    def _record_failure(self, source: str, failure: failures.Failure) -> None:
         reason = type(failure).__name__
         self._metrics.count(
             "pollenfork_settings_read_failures_total", reason=reason
@@ -254,13 +254,13 @@
 
 
 class _Actor(pykka.ThreadingActor):
-    def __init__(self, keeper: ActionExecutor) -> None:
+    def __init__(self, executor: ActionExecutor) -> None:
         super().__init__()
-        self._keeper = keeper
+        self._executor = executor
 
     def on_receive(self, message: Any) -> None:
         try:
-            self._keeper.handle(message)
+            self._executor.handle(message)
         except Exception:
-            # One bad message must not end the actor that all settings need.
+            # An exception here would stop the actor and freeze the settings.
             _LOG.exception("event=settings_message_failed")
--- a/pollenfork/settings/changes.py
+++ b/pollenfork/settings/changes.py
@@ -1,4 +1,4 @@
-"""Turns one write into the rows that it changes; no I/O."""
+"""Computes the rows that one write changes; no I/O."""
 
 import hashlib
 
@@ -13,17 +13,17 @@
 from pollenfork.settings import validation
 from pollenfork.store import edges
 
-HISTORY_KEPT = 32  # Writes of each subtree whose content is kept.
-WRITES_KEPT = 64  # Writes of the tree that a retry can find.
+HISTORY_KEPT = 32  # Past versions kept of each subtree.
+WRITES_KEPT = 64  # Accepted writes remembered to detect retries.
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """A write that an operator asks for.
+    """A write requested by an operator.
 
     Attributes:
         value: The JSON value to put at `path`.
-        expected: The revision that the operator saw: of the subtree, or of
-            the tree for a write of the whole; 0 where nothing was there.
+        expected: The revision that the write is based on: the subtree's, or
+            the tree's for a write of the whole tree; 0 if nothing existed.
         operator: SHA-256 hex digest of the operator's token.
     """
 
@@ -34,7 +34,7 @@
     operator: str
 
     def digest(self) -> str:
-        """Returns a digest of what is written where."""
+        """Returns a digest of the path and the value."""
         encoded = msgspec.json.encode(
             (str(self.path), self.value), order="deterministic"
         )
@@ -42,13 +42,13 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What a change writes on top of one tree.
+    """The effect of a change on one tree.
 
     Attributes:
-        written: The subtrees that it writes.
-        removed: The subtrees that it removes.
-        dropped: Keys of rows that go.
-        tree: The tree after it, compiled.
+        written: Subtrees to write.
+        removed: Paths of the subtrees to remove.
+        dropped: Keys of the rows to delete.
+        tree: The resulting tree, compiled.
     """
 
     written: tuple[state.Subtree, ...]
@@ -60,7 +60,7 @@
 def find_revision(
     tree: state.InForce, path: paths.SettingsPath
 ) -> ids.Revision:
-    """Returns the revision that a write at `path` compares; 0 for none."""
+    """Returns the revision that a write at `path` must match; 0 if none."""
     if path.is_tree:
         return tree.revision
     subtree = tree.subtrees.get(path.subtree)
@@ -70,9 +70,9 @@
 def get_value(
     tree: state.InForce, path: paths.SettingsPath
 ) -> result.Result[object, errors.NoSuchPath]:
-    """Returns the JSON value at `path`, as it was written."""
+    """Returns the JSON value at `path` as the operator wrote it."""
     if path.is_tree:
-        return result.Ok(_read_whole(tree))
+        return result.Ok(_encode_tree(tree))
     subtree = tree.subtrees.get(path.subtree)
     if subtree is None:
         return result.Err(errors.NoSuchPath(detail=f"no {path.subtree}"))
@@ -87,16 +87,16 @@
 def plan(
     change: Change, tree: state.InForce
 ) -> result.Result[Plan, errors.SettingsFailure]:
-    """Returns what the change writes, or why the result isn't a good tree."""
+    """Validates a change and returns its effect on the tree."""
     if change.path.is_tree:
-        return _plan_whole(change, tree)
+        return _plan_tree(change, tree)
     body = _merge(change, tree)
     if isinstance(body, result.Err):
         return body
     checked = _check(change.path.subtree, body.ok_value, tree)
     if isinstance(checked, result.Err):
         return checked
-    return _finish({change.path.subtree: body.ok_value}, (), tree)
+    return _build_plan({change.path.subtree: body.ok_value}, (), tree)
 
 
 def build_rows(
@@ -108,15 +108,15 @@
 ) -> tuple[tuple[edges.Put, ...], tuple[edges.Delete, ...]]:
     """Returns the rows to write and to delete in one transaction.
 
-    Only the head's version is compared: every write changes the head, so two
-    writes from one tree can't both take effect.
+    The transaction is conditional on the head's version only. Every write
+    changes the head, so of two writes based on one tree only one succeeds.
 
     Args:
         change: The write.
-        planned: What it changes.
-        head_version: Version of the head row that it was planned on.
-        writes: The accepted writes so far.
-        at: Unix seconds.
+        planned: The effect of the write.
+        head_version: Version of the head row that the plan is based on.
+        writes: The last accepted writes.
+        at: Time of the write in Unix seconds.
     """
     tree = planned.tree
     record = rows.WriteRecord(
@@ -145,10 +145,10 @@
     return tuple(puts), deletes
 
 
-def _read_whole(tree: state.InForce) -> dict[str, object]:
+def _encode_tree(tree: state.InForce) -> dict[str, object]:
     """Returns the tree with its subtrees as raw JSON, undecoded.
 
-    Decoded, 42,000 accounts would take more than an instance has for them.
+    Decoding 42,000 accounts would exceed the memory of an instance.
     """
     root = msgspec.Raw(b"{}")
     teams: dict[str, msgspec.Raw] = {}
@@ -164,7 +164,7 @@
 def _merge(
     change: Change, tree: state.InForce
 ) -> result.Result[object, errors.NoSuchPath]:
-    """Returns the subtree's JSON value with the change in it."""
+    """Returns the subtree's JSON value with the change applied."""
     inner = change.path.inner
     if not inner:
         return result.Ok(change.value)
@@ -197,7 +197,7 @@
     return validation.check_team(value, team, tree.tree.root, find_owner)
 
 
-def _plan_whole(
+def _plan_tree(
     change: Change, tree: state.InForce
 ) -> result.Result[Plan, errors.SettingsFailure]:
     checked = validation.check_tree(change.value)
@@ -215,10 +215,10 @@
         or msgspec.json.decode(tree.subtrees[path].read()) != value
     }
     removed = tuple(path for path in tree.subtrees if path not in wanted)
-    return _finish(changed, removed, tree)
+    return _build_plan(changed, removed, tree)
 
 
-def _finish(
+def _build_plan(
     changed: dict[str, object], removed: tuple[str, ...], tree: state.InForce
 ) -> result.Result[Plan, errors.SettingsFailure]:
     if not changed and not removed:
@@ -232,7 +232,7 @@
     for path in removed:
         del subtrees[path]
     ordered = [subtrees[path] for path in sorted(subtrees)]
-    dropped = _list_dropped(tuple(changed), tree)
+    dropped = _list_expired_history(tuple(changed), tree)
     dropped += [rows.make_subtree_key(path) for path in removed]
     compiled = state.compile_tree(revision, ordered, tree)
     return compiled.map(
@@ -274,8 +274,10 @@
     return edges.Put(key, rows.encode(row))
 
 
-def _list_dropped(written: tuple[str, ...], tree: state.InForce) -> list[str]:
-    """Returns the keys of the history rows that make room for new ones."""
+def _list_expired_history(
+    written: tuple[str, ...], tree: state.InForce
+) -> list[str]:
+    """Returns the keys of the history rows that exceed the limit."""
     known = [tree.subtrees[path] for path in written if path in tree.subtrees]
     return [
         rows.make_history_key(subtree.path, subtree.history[0])
--- a/pollenfork/settings/copies.py
+++ b/pollenfork/settings/copies.py
@@ -1,4 +1,4 @@
-"""The whole tree as bytes, for a peer that can't read the table."""
+"""Encodes the whole tree for peers that can't read the table."""
 
 import msgspec
 import result
@@ -25,11 +25,11 @@
 def decode(
     body: bytes, previous: state.InForce = state.EMPTY
 ) -> result.Result[state.InForce, errors.UnreadableRow]:
-    """Returns the tree that a peer's bytes hold, compiled.
+    """Decodes and compiles a tree received from a peer.
 
     Args:
-        body: What `encode` returned at the peer.
-        previous: The tree in force here; what didn't change is reused.
+        body: The peer's tree, as encoded by `encode`.
+        previous: The tree in force here; unchanged parts are reused.
     """
     try:
         copy = msgspec.msgpack.decode(body, type=messages.TreeCopy)
--- a/pollenfork/settings/core.py
+++ b/pollenfork/settings/core.py
@@ -1,7 +1,7 @@
 """Decides which tree is in force and when to look for a newer one.
 
-No I/O: events and the time come in, actions go out. A tree is replaced only
-by one of a higher revision, whatever brings it and however late.
+No I/O: methods take events and the time and return actions. A tree is replaced
+only by one of a higher revision, from whichever source and however late.
 """
 
 import enum
@@ -15,34 +15,40 @@
 POLL_S = 5.0
 """Mean time between two reads of the head row.
 
-Two reads fit the 16 s within which a write must be in force, so one lost
-read costs no miss; 360 instances make 72 reads/s of the table's 2,000.
+A write must be in force everywhere within 16 s. At least two reads fit in
+that time, so one failed read is tolerated. 360 instances make 72 reads/s, of
+the 2,000 that the table allows.
 """
 POLL_JITTER = 0.2
 FIRST_POLL_S = 1.0
 """Mean time between two reads while no tree is in force.
 
-A failed read is repeated after as long, then twice as long each time, up to
-`POLL_S`: one that was lost costs little, an outage costs the table no more
-than polling.
+Also the first delay after a failed read. The delay doubles with each further
+failure, up to `POLL_S`: a single failure is retried soon, and an outage causes
+no more load than regular polling.
 """
 READ_SPREAD_S = 2.0
-"""Instances that hear of a newer revision at once spread their reads so."""
+"""Range of the random delay before a read caused by a peer's newer revision.
+
+It spreads the reads of instances that learn of a revision together.
+"""
 DISCOVERY_S = 3.0
-"""How long a restarted instance without the platform hears peers first."""
+"""How long an instance without a tree collects peers' revisions first.
 
-FETCH_TIMEOUT_S = 5.0
-"""How long a peer's copy is waited for before another peer is asked."""
+Applies if the table can't be read; then the newest peer's tree is fetched.
+"""
 
+FETCH_TIMEOUT_S = 5.0
+"""How long to wait for a peer's copy before asking another peer."""
 
 PEER_RETRY_DELAY_S = 5.0
-"""How long a peer whose copy couldn't be had is left alone."""
+"""Delay before asking a peer again after a failed or outdated copy."""
 
-_MOST_DOUBLINGS = 3  # Eight times `FIRST_POLL_S` is past `POLL_S`.
+_MAX_DOUBLINGS = 3  # Eight times `FIRST_POLL_S` is past `POLL_S`.
 
 
 class ReadTable(msgspec.Struct, frozen=True):
-    """Read the head row, and the subtrees that it shows to be newer."""
+    """Read the head row and the subtrees that have changed."""
 
 
 class FetchCopy(msgspec.Struct, frozen=True):
@@ -52,7 +58,7 @@
 
 
 class Source(enum.Enum):
-    """Where a tree was found; each has its counter."""
+    """Where a tree came from; a label of the adoption counter."""
 
     TABLE = "table"
     PEER = "peer"
@@ -60,7 +66,7 @@
 
 
 class Publish(msgspec.Struct, frozen=True):
-    """Tell the other slices that this tree is in force."""
+    """Notify the subscribers that this tree is in force."""
 
     in_force: state.InForce
     source: Source
@@ -70,7 +76,7 @@
 
 
 class Core:
-    """The tree in force at one instance."""
+    """State machine that selects the tree in force at one instance."""
 
     def __init__(self, rng: random.Random, now: float) -> None:
         self.in_force: state.InForce | None = None
@@ -79,101 +85,102 @@
         self._rng = rng
         self._confirmed_at: float | None = None
         self._peers: dict[ids.InstanceId, ids.Revision] = {}
-        self._resting: dict[ids.InstanceId, float] = {}
+        self._retry_peers_at: dict[ids.InstanceId, float] = {}
         self._next_read = now
         self._failures = 0
-        self._gather_until: float | None = None
-        self._fetch_until = now
+        self._discovery_ends_at: float | None = None
+        self._fetch_deadline = now
 
     @property
     def revision(self) -> ids.Revision:
-        """The revision in force; 0 before there is one."""
+        """The revision in force; 0 if there is none yet."""
         return self.in_force.revision if self.in_force else ids.Revision(0)
 
     def age_s(self, now: float) -> float | None:
-        """Returns seconds since the tree was last known to be the newest.
+        """Returns seconds since the tree was last confirmed to be the newest.
 
-        None while no tree is in force. After a tree came from a peer it
-        counts from then, as the peer's is the newest that could be had.
+        None if no tree is in force. Adopting a peer's tree counts as a
+        confirmation, since it is the newest tree available.
         """
         if self._confirmed_at is None:
             return None
         return max(0.0, now - self._confirmed_at)
 
     def tick(self, now: float) -> list[Action]:
-        """Returns what is due now."""
+        """Returns the actions that are due."""
         actions: list[Action] = []
-        if not self.platform_answers and self._has_gathered(now):
-            # Before the read, which may wait for its whole time limit.
-            actions += self._fetch_from_best(now)
+        if not self.platform_answers and self._may_fetch(now):
+            # Fetch before reading: the read may block until its timeout.
+            actions += self._fetch_from_newest_peer(now)
         if now >= self._next_read:
-            self._next_read = now + self._draw_poll_s()
+            self._next_read = now + self._get_poll_delay_s()
             actions.append(ReadTable())
         return actions
 
     def record_peer_revision(
         self, peer: ids.InstanceId, revision: ids.Revision, now: float
     ) -> None:
-        """Notes the revision in force at a peer."""
+        """Records the revision in force at a peer."""
         newest = max(self._peers.values(), default=ids.Revision(0))
         self._peers[peer] = revision
-        # Drawn once for each revision: the least of many draws, one for each
-        # peer that tells of it, would bring all instances' reads together.
+        # One random delay per revision. Drawing one for each peer that reports
+        # it and using the minimum would make all instances read at once.
         if revision > max(newest, self.revision):
             soon = now + self._rng.uniform(0, READ_SPREAD_S)
             self._next_read = min(self._next_read, soon)
 
     def remove_peer(self, peer: ids.InstanceId) -> None:
-        """Drops a peer that can't be reached."""
+        """Removes an unreachable peer."""
         self._peers.pop(peer, None)
-        self._resting.pop(peer, None)
+        self._retry_peers_at.pop(peer, None)
 
     def handle_read(
         self, found: state.InForce | None, now: float
     ) -> list[Action]:
-        """Takes the answer of a read of the table.
+        """Handles a successful read of the table.
 
         Args:
-            found: The tree found, or None where the table holds none or an
-                older one than is in force.
+            found: The tree read, or None if the table has no tree or an older
+                one than is in force.
             now: When the read was sent.
         """
         self.platform_answers = True
         self._failures = 0
-        self._gather_until = None
+        self._discovery_ends_at = None
         actions: list[Action] = []
         if found is not None:
             actions += self._adopt(found, Source.TABLE, now)
             if self.in_force and found.revision == self.revision:
                 self._confirm(now)
         if max(self._peers.values(), default=0) > self.revision:
-            actions += self._fetch_from_best(now)
+            actions += self._fetch_from_newest_peer(now)
         return actions
 
     def handle_read_failure(self, now: float) -> None:
-        """Takes a read of the table that failed; `now` is when it was sent."""
+        """Handles a failed read of the table; `now` is when it was sent."""
         self.platform_answers = False
         delay_s = min(POLL_S, FIRST_POLL_S * 2**self._failures)
-        self._failures = min(self._failures + 1, _MOST_DOUBLINGS)
-        self._next_read = min(self._next_read, now + self._spread(delay_s))
-        if self._gather_until is None:
-            self._gather_until = now + DISCOVERY_S
+        self._failures = min(self._failures + 1, _MAX_DOUBLINGS)
+        self._next_read = min(self._next_read, now + self._add_jitter(delay_s))
+        if self._discovery_ends_at is None:
+            self._discovery_ends_at = now + DISCOVERY_S
 
     def handle_copy(
         self, peer: ids.InstanceId, found: state.InForce | None, now: float
     ) -> list[Action]:
-        """Takes a peer's tree, or None where it couldn't be had."""
-        self._fetch_until = now
+        """Handles a peer's tree, or None if the fetch failed."""
+        self._fetch_deadline = now
         known = self._peers.get(peer, ids.Revision(0))
         if found is None or found.revision < known:
-            # Membership tells a revision once, so the peer is kept in mind.
-            self._resting[peer] = now + PEER_RETRY_DELAY_S
+            # Keep the peer for a later retry: membership reports each of its
+            # revisions only once.
+            self._retry_peers_at[peer] = now + PEER_RETRY_DELAY_S
         if found is None:
             return []
         return self._adopt(found, Source.PEER, now)
 
     def handle_write(self, written: state.InForce, now: float) -> list[Action]:
-        """Takes the tree that a write through this instance has made."""
+        """Handles the tree that a write through this instance produced."""
         actions = self._adopt(written, Source.WRITE, now)
         if written.revision == self.revision:
             self._confirm(now)
@@ -193,27 +200,31 @@
         earlier = self._confirmed_at
         self._confirmed_at = at if earlier is None else max(earlier, at)
 
-    def _has_gathered(self, now: float) -> bool:
+    def _may_fetch(self, now: float) -> bool:
         if self.in_force is not None:
             return True
-        return self._gather_until is not None and now >= self._gather_until
+        return (
+            self._discovery_ends_at is not None
+            and now >= self._discovery_ends_at
+        )
 
-    def _fetch_from_best(self, now: float) -> list[Action]:
-        if now < self._fetch_until:
+    def _fetch_from_newest_peer(self, now: float) -> list[Action]:
+        if now < self._fetch_deadline:
             return []
         ahead = [
             (revision, peer)
             for peer, revision in self._peers.items()
-            if revision > self.revision and now >= self._resting.get(peer, now)
+            if revision > self.revision
+            and now >= self._retry_peers_at.get(peer, now)
         ]
         if not ahead:
             return []
-        _, best = max(ahead)
-        self._fetch_until = now + FETCH_TIMEOUT_S
-        return [FetchCopy(best)]
+        _, newest_peer = max(ahead)
+        self._fetch_deadline = now + FETCH_TIMEOUT_S
+        return [FetchCopy(newest_peer)]
 
-    def _draw_poll_s(self) -> float:
-        return self._spread(POLL_S if self.in_force else FIRST_POLL_S)
+    def _get_poll_delay_s(self) -> float:
+        return self._add_jitter(POLL_S if self.in_force else FIRST_POLL_S)
 
-    def _spread(self, mean_s: float) -> float:
+    def _add_jitter(self, mean_s: float) -> float:
         return mean_s * self._rng.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
--- a/pollenfork/settings/documents.py
+++ b/pollenfork/settings/documents.py
@@ -1,7 +1,7 @@
-"""Decodes the JSON that operators write; a name that stands twice is an error.
+"""Decodes operators' JSON documents and rejects duplicate member names.
 
-Decoders keep the last of two members with one name and drop the other, so a
-class pasted twice would lose its first half unseen.
+JSON decoders keep only the last of several members with the same name, so a
+class that was pasted twice would silently lose its first definition.
 """
 
 import collections
@@ -13,24 +13,26 @@
 from pollenfork.settings import errors
 from pollenfork.settings import schema
 
-_DEEPEST = 32  # The tree itself has seven levels.
+_MAX_DEPTH = 32  # The tree itself has seven levels.
 
 Members = list[tuple[str, object]]
 
 
 def decode(body: bytes) -> result.Result[object, errors.BadDocument]:
-    """Returns the JSON value of `body`, or what is wrong with it."""
+    """Decodes `body`, or returns all its errors."""
     try:
         value = json.loads(
-            body, object_pairs_hook=_build, parse_constant=_refuse_constant
+            body,
+            object_pairs_hook=_build_object,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
-        return _refuse([errors.Violation("", f"not JSON: {error}")])
-    found = list(_find_faults(value, "", 0))
-    return _refuse(found) if found else result.Ok(value)
+        return _make_failure([errors.Violation("", f"not JSON: {error}")])
+    found = list(_find_violations(value, "", 0))
+    return _make_failure(found) if found else result.Ok(value)
 
 
-def _refuse(
+def _make_failure(
     violations: Iterable[errors.Violation],
 ) -> result.Err[errors.BadDocument]:
     found = tuple(violations)
@@ -38,37 +40,39 @@
     return result.Err(failure)
 
 
-class _Ambiguous(dict[str, object]):
-    """An object in which names stand twice."""
+class _DuplicateMembers(dict[str, object]):
+    """An object with duplicate member names."""
 
     def __init__(self, members: Members) -> None:
         super().__init__(members)
         counts = collections.Counter(name for name, _ in members)
-        self.twice = [name for name, count in counts.items() if count > 1]
+        self.duplicates = [name for name, count in counts.items() if count > 1]
 
 
-def _build(members: Members) -> dict[str, object]:
+def _build_object(members: Members) -> dict[str, object]:
     built = dict(members)
-    return built if len(built) == len(members) else _Ambiguous(members)
+    return built if len(built) == len(members) else _DuplicateMembers(members)
 
 
-def _find_faults(
+def _find_violations(
     value: object, path: str, depth: int
 ) -> Iterator[errors.Violation]:
-    if depth > _DEEPEST:
+    if depth > _MAX_DEPTH:
         yield errors.Violation(path, "is nested too deep")
         return
-    if isinstance(value, _Ambiguous):
-        for name in value.twice:
+    if isinstance(value, _DuplicateMembers):
+        for name in value.duplicates:
             yield errors.Violation(path, f"{name} stands twice")
     if isinstance(value, dict):
         for name, item in value.items():
-            yield from _find_faults(item, schema.join(path, name), depth + 1)
+            yield from _find_violations(
+                item, schema.join(path, name), depth + 1
+            )
     elif isinstance(value, list):
         for index, item in enumerate(value):
             inner = schema.join(path, str(index))
-            yield from _find_faults(item, inner, depth + 1)
+            yield from _find_violations(item, inner, depth + 1)
 
 
-def _refuse_constant(name: str) -> object:
+def _reject_constant(name: str) -> object:
     raise ValueError(f"{name} is not a number")
--- a/pollenfork/settings/errors.py
+++ b/pollenfork/settings/errors.py
@@ -1,4 +1,4 @@
-"""Failures of the settings slice."""
+"""Failures of the settings package."""
 
 from collections.abc import Iterable
 
@@ -10,19 +10,19 @@
 
 
 class SettingsFailure(failures.Failure, frozen=True, kw_only=True):
-    """Base of the failures that the settings slice reports."""
+    """Base class of the settings failures."""
 
 
 class NoSuchPath(SettingsFailure, frozen=True, kw_only=True):
-    """The path names nothing in the tree."""
+    """The path does not exist in the tree."""
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One broken rule.
+    """One violated validation rule.
 
     Attributes:
-        path: Dotted place in the tree, such as `teams.linework`.
-        rule: The field and what it must be.
+        path: Dotted path in the tree, such as `teams.linework`.
+        rule: The field and its constraint.
     """
 
     path: str
@@ -34,26 +34,26 @@
 
 
 class BadTree(SettingsFailure, frozen=True, kw_only=True):
-    """The tree breaks rules, and nothing of it was written."""
+    """The tree violates rules; nothing was written."""
 
     violations: tuple[Violation, ...]
 
 
 class BadDocument(SettingsFailure, frozen=True, kw_only=True):
-    """What should be JSON isn't, or has a name that stands twice."""
+    """The document is not valid JSON or has duplicate member names."""
 
     violations: tuple[Violation, ...]
 
 
 def refuse_tree(violations: Iterable[Violation]) -> result.Err[BadTree]:
-    """Returns the refusal of a tree that breaks these rules."""
+    """Returns the failure for a tree with these violations."""
     found = tuple(violations)
     detail = f"broken rules: {len(found)}, the first: {found[0]}"
     return result.Err(BadTree(detail=detail, violations=found))
 
 
 class Stale(SettingsFailure, frozen=True, kw_only=True):
-    """Another write came first; `current` is 0 where nothing exists."""
+    """The expected revision is outdated; `current` is 0 if nothing exists."""
 
     current: ids.Revision
 
@@ -63,15 +63,15 @@
 
 
 class UnknownOperator(SettingsFailure, frozen=True, kw_only=True):
-    """Nobody has this token in the settings in force."""
+    """The settings in force do not contain this token."""
 
 
 class Forbidden(SettingsFailure, frozen=True, kw_only=True):
-    """The token isn't bound to this part of the tree."""
+    """The token has no rights to this part of the tree."""
 
 
 class WriteIdReused(SettingsFailure, frozen=True, kw_only=True):
-    """An earlier write had the same id and another content."""
+    """An earlier write had the same id but different content."""
 
 
 class Unreadable(SettingsFailure, frozen=True, kw_only=True):
@@ -79,27 +79,27 @@
 
 
 class NotWritten(SettingsFailure, frozen=True, kw_only=True):
-    """The write had no effect and will have none.
+    """The write had no effect and will not take effect later.
 
     Attributes:
-        retry_after_s: When to try again.
+        retry_after_s: Seconds to wait before a retry.
     """
 
     retry_after_s: float = 1.0
 
 
 class WriteUnknown(SettingsFailure, frozen=True, kw_only=True):
-    """The answer was lost: repeating with the same write id is safe."""
+    """The outcome is unknown; a retry with the same write id is safe."""
 
     retry_after_s: float = 1.0
 
 
 class UnreadableRow(SettingsFailure, frozen=True, kw_only=True):
-    """A row or a peer's copy is of an unknown format or damaged."""
+    """A row or a peer's copy is corrupt or has an unknown format."""
 
 
 class TreeMoving(SettingsFailure, frozen=True, kw_only=True):
-    """Writes kept overtaking the read; the next poll tries again."""
+    """Concurrent writes kept changing the tree; the next poll reads again."""
 
 
 class TableBehind(SettingsFailure, frozen=True, kw_only=True):
--- a/pollenfork/settings/first.py
+++ b/pollenfork/settings/first.py
@@ -1,4 +1,4 @@
-"""Writes the first tree of a table that holds none, for trials."""
+"""Writes the first tree into an empty table, for trials."""
 
 import random
 import time
@@ -21,7 +21,7 @@
 def write_tree(
     table: edges.TableService, tree: model.Tree, now: clock.Clock
 ) -> result.Result[ids.Revision, errors.SettingsFailure]:
-    """Returns the revision that the tree got; it is validated like any."""
+    """Validates and writes the tree; returns its revision."""
     writes = writer.Writer(
         table,
         now,
--- a/pollenfork/settings/messages.py
+++ b/pollenfork/settings/messages.py
@@ -1,4 +1,4 @@
-"""What other slices say to the settings slice and hear from it."""
+"""Messages between the settings and other packages."""
 
 import enum
 
@@ -14,9 +14,9 @@
     """A tree has come into force at this instance; revisions only grow.
 
     Attributes:
-        tree: The tree, without the teams' accounts (up to 42,000): those are
-            found through `lookups`.
-        lookups: The same tree, compiled for the request path.
+        tree: The tree without the teams' accounts (up to 42,000), which are
+            looked up through `lookups`.
+        lookups: The same tree, compiled for lookups by requests.
     """
 
     tree: model.Tree
@@ -24,10 +24,10 @@
 
 
 class Rights(msgspec.Struct, frozen=True):
-    """What an operator's token is bound to.
+    """The rights of an operator's token.
 
     Attributes:
-        everything: The whole tree, and orders to endpoints.
+        everything: May change the whole tree and send orders to endpoints.
         teams: Teams whose subtrees the token may change.
     """
 
@@ -36,19 +36,19 @@
 
 
 class Source(enum.Enum):
-    """Where an operator's read was answered from."""
+    """Where the answer to an operator's read came from."""
 
     TABLE = "table"
-    IN_FORCE = "in-force"  # The table is away: what this instance serves.
+    IN_FORCE = "in-force"  # The table is unavailable: this instance's tree.
 
 
 class Reading(msgspec.Struct, frozen=True, kw_only=True):
-    """What is at a path.
+    """The value at a path.
 
     Attributes:
         value: JSON.
-        revision: Of the subtree, or of the tree for the whole.
-        tree_revision: Of the tree that was read.
+        revision: Revision of the subtree, or of the tree for the empty path.
+        tree_revision: Revision of the tree that was read.
     """
 
     value: bytes
@@ -58,13 +58,13 @@
 
 
 class WriteRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A write that an operator asks for.
+    """A write requested by an operator.
 
     Attributes:
         operator: SHA-256 hex digest of the operator's token.
         body: The JSON to put at `path`.
-        expected: The revision that the operator saw: of the subtree, or of
-            the tree for a write of the whole; 0 where nothing was there.
+        expected: The revision that the write is based on: the subtree's, or
+            the tree's for a write of the whole tree; 0 if nothing existed.
     """
 
     operator: str
@@ -78,7 +78,7 @@
     """An accepted, durable write.
 
     Attributes:
-        repeated: An earlier sending of the same write had been accepted.
+        repeated: The write is a retry of one that was already accepted.
     """
 
     revision: ids.Revision
@@ -89,9 +89,9 @@
     """One accepted write of a subtree.
 
     Attributes:
-        operator: First digits of the digest of the operator's token.
+        operator: Prefix of the digest of the operator's token.
         at: Unix seconds.
-        value: The subtree's JSON as the write left it; null if removed.
+        value: The subtree's JSON after the write; null if removed.
     """
 
     revision: ids.Revision
@@ -102,14 +102,14 @@
 
 
 class PeerRevision(msgspec.Struct, frozen=True):
-    """The revision in force at a peer, as its heartbeat says; 0 for none."""
+    """The revision in force at a peer, from its heartbeat; 0 if none."""
 
     instance: ids.InstanceId
     revision: ids.Revision
 
 
 class PeerGone(msgspec.Struct, frozen=True):
-    """A peer can't be reached: its copy of the tree neither."""
+    """A peer is unreachable, so its tree can't be fetched."""
 
     instance: ids.InstanceId
 
@@ -137,7 +137,7 @@
 
 
 class TreeCopy(msgspec.Struct, frozen=True, array_like=True):
-    """The whole tree as one instance hands it to another, in MessagePack."""
+    """The whole tree as sent between instances, in MessagePack."""
 
     format: int
     revision: ids.Revision
--- a/pollenfork/settings/model.py
+++ b/pollenfork/settings/model.py
@@ -1,7 +1,7 @@
 """The settings tree as typed, validated data (JSON on the wire).
 
-The root holds what all teams share and the ceilings each team lives under;
-each team's subtree holds its own classes and accounts.
+The root holds the settings shared by all teams and each team's ceiling; a
+team's subtree holds its classes and accounts.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class LatePolicy(enum.Enum):
-    """What happens to a request that can't meet its target."""
+    """How to handle a request that can't meet its target."""
 
     REFUSE = "refuse"
     WAIT = "wait"
@@ -41,16 +41,17 @@
     Attributes:
         tier: 0 is the most urgent.
         target_first_token_ms: Target from arrival to first token.
-        target_gap_ms: Target between two tokens.
-        target_answer_ms: Target for the whole answer, where there is one.
+        target_gap_ms: Target time between two tokens.
+        target_answer_ms: Target for the complete answer, if any.
         protected: Never shed or preempted to make room for a lower tier.
-        when_late: Refuse early, or wait late, when the target can't be met.
-        max_wait_ms: The longest wait in a queue before a refusal.
+        when_late: Whether to refuse or queue a request that can't meet its
+            target.
+        max_wait_ms: Longest time in a queue before a refusal.
         max_waiting: Requests of the class that may wait at one instance.
-        minimum_share: Part of each endpoint's slots that keeps the class
-            moving under load from higher tiers.
+        minimum_share: Fraction of each endpoint's slots that keeps the class
+            progressing under load from more urgent tiers.
         retry_ratio: Retries and hedges allowed for each request.
-        hedge: A second copy may be sent before the first token.
+        hedge: Whether a hedged request may be sent before the first token.
     """
 
     tier: TierNumber
@@ -90,11 +91,12 @@
 class Ceiling(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a team may not exceed; set at the root only.
+    """The limits of a team; set at the root only.
 
     Attributes:
-        operator_sha256: Digests of the tokens bound to the team's subtree.
-        best_tier: The most urgent tier the team's classes may name.
+        operator_sha256: Digests of the tokens that may change the team's
+            subtree.
+        best_tier: The most urgent tier that the team's classes may use.
         may_protect: Whether the team's classes may be protected.
     """
 
@@ -112,12 +114,12 @@
 
     Attributes:
         address: `host:port`.
-        group: Endpoints of one kind of hardware, compared for stragglers.
-        models: Models loaded by plan, each as `name` or `name@version`.
-        adapters: Adapters loaded by plan, named alike.
-        role: Role by plan; empty leaves the endpoint's role as it is.
-        slots: Requests the endpoint batches at once by plan.
-        checks_fencing: It refuses an order with an old fencing number.
+        group: Endpoints with the same hardware, compared to detect stragglers.
+        models: Models to keep loaded, each as `name` or `name@version`.
+        adapters: Adapters to keep loaded, in the same form.
+        role: Desired role; empty leaves the role unchanged.
+        slots: Planned number of requests that the endpoint batches at once.
+        checks_fencing: The endpoint refuses orders with an old fencing number.
     """
 
     address: str
@@ -134,12 +136,12 @@
 class ServiceSettings(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """One plain service beside the engines.
+    """One HTTP service other than the engines.
 
     Attributes:
-        endpoints: Names of the endpoints that carry it.
-        repeatable_methods: HTTP methods that may be sent twice.
-        timeout_ms: Time for one attempt.
+        endpoints: Names of the endpoints that serve it.
+        repeatable_methods: HTTP methods that may be retried.
+        timeout_ms: Timeout of one attempt.
     """
 
     endpoints: tuple[ids.EndpointId, ...]
@@ -153,7 +155,7 @@
     """The root of the tree.
 
     Attributes:
-        operator_sha256: Digests of the tokens that may change everything.
+        operator_sha256: Digests of the tokens that may change the whole tree.
         ceilings: One for each team; a team without one has no subtree.
     """
 
--- a/pollenfork/settings/paths.py
+++ b/pollenfork/settings/paths.py
@@ -1,8 +1,8 @@
 """Paths of the settings tree, such as `teams/linework/classes/morning`.
 
-The first one or two steps name a subtree (`root`, `teams/NAME`), which is
-what a revision belongs to; deeper steps name a part of it. The empty path
-names the whole tree.
+The first one or two segments name a subtree (`root`, `teams/NAME`), the unit
+that has a revision; further segments name a part of it. The empty path stands
+for the whole tree.
 """
 
 import msgspec
@@ -20,7 +20,7 @@
 
     Attributes:
         subtree: `root`, `teams/NAME`, or empty for the whole tree.
-        inner: Steps below the subtree.
+        inner: Segments below the subtree.
     """
 
     subtree: str
@@ -28,21 +28,21 @@
 
     @property
     def is_tree(self) -> bool:
-        """Whether the path names the whole tree."""
+        """Whether this is the path of the whole tree."""
         return not self.subtree
 
     @property
     def team(self) -> ids.Team | None:
-        """The team whose subtree this is, or None for others."""
+        """The team of the subtree, or None for any other path."""
         return find_team(self.subtree)
 
     def __str__(self) -> str:
-        """Returns the path as it is written, without slashes at its ends."""
+        """Returns the path without leading or trailing slashes."""
         return "/".join((self.subtree, *self.inner))
 
 
 def parse_path(text: str) -> result.Result[SettingsPath, errors.NoSuchPath]:
-    """Returns the path that `text` spells; slashes at its ends are ignored."""
+    """Parses a path, ignoring empty segments."""
     steps = [step for step in text.split("/") if step]
     if not steps:
         return result.Ok(SettingsPath(""))
@@ -62,6 +62,6 @@
 
 
 def find_team(subtree: str) -> ids.Team | None:
-    """Returns the team whose subtree the path names, or None for the root."""
+    """Returns the team of a subtree path, or None for the root."""
     head, _, name = subtree.partition("/")
     return ids.Team(name) if head == _TEAMS else None
--- a/pollenfork/settings/rows.py
+++ b/pollenfork/settings/rows.py
@@ -1,13 +1,13 @@
 """Formats of the rows that hold the tree in the platform's table.
 
     settings/head                   revision of the tree and of each subtree
-    settings/writes                 the last writes, by write id
-    settings/subtrees/PATH          the subtree as it is now
-    settings/history/PATH/REVISION  the subtree as one write left it
+    settings/writes                 the last accepted writes
+    settings/subtrees/PATH          the current subtree
+    settings/history/PATH/REVISION  the subtree after one write
 
-Every row is a JSON object with a `format` number. A later program must go on
-reading every format that was ever written: the bytes stand in `tests/golden`.
-Fields may be added, as readers ignore those that they don't know.
+Every row is a JSON object with a `format` number. Later versions must read
+every format ever written; `tests/golden` holds an example of each. Adding
+fields keeps the format, as readers ignore unknown fields.
 """
 
 from typing import TypeVar
@@ -35,7 +35,7 @@
     """Revisions of the tree and of each subtree.
 
     Attributes:
-        revision: Grows by one with each accepted write.
+        revision: Incremented by each accepted write.
         subtrees: The tree's revision at which each subtree last changed.
     """
 
@@ -47,7 +47,7 @@
     """One accepted write.
 
     Attributes:
-        digest: Of the path and the content, to tell a reused id.
+        digest: Digest of path and content, to detect a reused write id.
     """
 
     write_id: ids.WriteId
@@ -66,7 +66,7 @@
     """One subtree.
 
     Attributes:
-        history: Revisions whose history rows are kept, oldest first.
+        history: Revisions that have a history row, oldest first.
         value: The subtree's JSON, as the operator wrote it.
     """
 
@@ -80,9 +80,9 @@
     """One write of one subtree.
 
     Attributes:
-        operator: First digits of the digest of the operator's token.
-        at: Unix seconds by the writing instance's clock.
-        value: The subtree's JSON, or null where the write removed it.
+        operator: Prefix of the digest of the operator's token.
+        at: Unix seconds on the clock of the instance that wrote it.
+        value: The subtree's JSON, or null if the write removed it.
     """
 
     path: str
@@ -94,14 +94,14 @@
 
 
 def encode(row: _Row) -> bytes:
-    """Returns the row's bytes."""
+    """Encodes a row."""
     return msgspec.json.encode(row)
 
 
 def decode(
     value: bytes, kind: type[T]
 ) -> result.Result[T, errors.UnreadableRow]:
-    """Returns the row that `value` holds, if its format is known."""
+    """Decodes a row; fails if its format is unknown."""
     try:
         row = msgspec.json.decode(value, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -118,7 +118,7 @@
 
 
 def make_history_prefix(path: str) -> str:
-    """Returns what the keys of a subtree's history rows start with."""
+    """Returns the key prefix of a subtree's history rows."""
     return f"{_HISTORY}{path}/"
 
 
--- a/pollenfork/settings/schema.py
+++ b/pollenfork/settings/schema.py
@@ -1,7 +1,7 @@
-"""Checks a JSON value against a type and names every error, not the first.
+"""Validates a JSON value against a type and reports all errors.
 
-`msgspec` stops at the first error, so the walk here follows the type's own
-description and `msgspec` has the last word on what the walk lets pass.
+`msgspec` stops at the first error. This module walks the value along the
+type's description instead, and leaves the final check to `msgspec`.
 """
 
 from collections.abc import Iterator
@@ -22,12 +22,12 @@
 def convert(
     value: object, kind: type[T], path: str
 ) -> result.Result[T, tuple[errors.Violation, ...]]:
-    """Returns `value` as `kind`, or every rule that it breaks.
+    """Converts `value` to `kind`, or returns all violations.
 
     Args:
-        value: What a JSON decoder returned.
+        value: A decoded JSON value.
         kind: A `msgspec.Struct` type.
-        path: Dotted path of `value`, for the error text.
+        path: Dotted path of `value`, for error messages.
     """
     found = tuple(_walk_struct(value, _describe(kind), path))
     if found:
@@ -41,7 +41,7 @@
 def decode_stored(
     body: bytes, kind: type[T], path: str
 ) -> result.Result[T, errors.UnreadableRow]:
-    """Returns stored JSON as `kind`, leaving out fields that it lacks.
+    """Decodes stored JSON as `kind`, ignoring unknown fields.
 
     A later version may have stored settings that this one doesn't know.
     """
@@ -142,7 +142,11 @@
             return None if isinstance(value, bool) else "true or false"
         case inspect.EnumType():
             choices = [member.value for member in kind.cls]
-            return None if value in choices else f"one of {_list(choices)}"
+            return (
+                None
+                if value in choices
+                else f"one of {_format_choices(choices)}"
+            )
     return None
 
 
@@ -157,12 +161,12 @@
         return "an integer"
     for attribute, sign in _BOUNDS:
         bound = getattr(kind, attribute)
-        if bound is not None and not _holds(value, sign, bound):
+        if bound is not None and not _satisfies(value, sign, bound):
             return f"{sign} {bound:g}"
     return None
 
 
-def _holds(value: float, sign: str, bound: float) -> bool:
+def _satisfies(value: float, sign: str, bound: float) -> bool:
     match sign:
         case ">":
             return value > bound
@@ -181,7 +185,7 @@
     return None
 
 
-def _list(choices: list[object]) -> str:
+def _format_choices(choices: list[object]) -> str:
     return ", ".join(str(choice) for choice in choices)
 
 
--- a/pollenfork/settings/service.py
+++ b/pollenfork/settings/service.py
@@ -1,4 +1,4 @@
-"""Reads and writes of the settings for operators."""
+"""Reads and writes the settings on behalf of operators."""
 
 from collections.abc import Callable, Collection
 import random
@@ -34,15 +34,15 @@
         report: Callable[[messages.TreeWritten], None],
         first_operators: Collection[str] = (),
     ) -> None:
-        """Wires the service.
+        """Creates the service.
 
         Args:
             table: The platform's table.
             now: The clock.
-            rng: For the waits and the ids of transactions.
-            wait: Sleeps so many seconds.
+            rng: Randomness for backoff and transaction ids.
+            wait: Sleeps for the given seconds.
             get_in_force: Returns the settings in force here.
-            report: Told of the tree that an accepted write made.
+            report: Receives the tree that an accepted write produced.
             first_operators: See `authority.find_rights`.
         """
         self._table = table
@@ -56,7 +56,7 @@
     def find_rights(
         self, operator: str
     ) -> result.Result[messages.Rights, errors.SettingsFailure]:
-        """Returns what a token is bound to, by the settings in force."""
+        """Returns the rights that the settings in force grant a token."""
         in_force = self._get_in_force()
         tree = (in_force or state.EMPTY).tree
         rights = authority.find_rights(tree, operator, self._first_operators)
@@ -70,26 +70,26 @@
         )
 
     def get_tree(self) -> model.Tree | None:
-        """Returns the tree in force here, without accounts, or None."""
+        """Returns the tree in force without accounts; None if none."""
         in_force = self._get_in_force()
         return in_force.tree if in_force else None
 
     def read(
         self, operator: str, path: str
     ) -> result.Result[messages.Reading, errors.SettingsFailure]:
-        """Returns what is at a path.
+        """Returns the value at a path.
 
-        It is read from the table; while that is away, the settings in force
-        here are shown instead, and the reading says so.
+        It is read from the table. If the table is unavailable, the settings in
+        force at this instance are used, as `Reading.source` shows.
         """
-        found = self._find_path(operator, path)
+        found = self._authorize(operator, path)
         if isinstance(found, result.Err):
             return found
         in_force = self._get_in_force()
         read = store.read_tree(self._table, in_force or state.EMPTY)
         tree = read.ok() or in_force
         if tree is None:
-            return result.Err(_explain(read.unwrap_err()))
+            return result.Err(_make_unreadable(read.unwrap_err()))
         value = changes.get_value(tree, found.ok_value)
         if isinstance(value, result.Err):
             return value
@@ -106,8 +106,8 @@
     def write(
         self, request: messages.WriteRequest
     ) -> result.Result[messages.Written, errors.SettingsFailure]:
-        """Carries out a write; it is in force here at once."""
-        path = self._find_path(request.operator, request.path)
+        """Performs a write and puts it in force at this instance."""
+        path = self._authorize(request.operator, request.path)
         if isinstance(path, result.Err):
             return path
         value = documents.decode(request.body)
@@ -132,8 +132,8 @@
     ) -> result.Result[
         tuple[messages.HistoryEntry, ...], errors.SettingsFailure
     ]:
-        """Returns the kept writes of the subtree that a path is in."""
-        found = self._find_path(operator, path)
+        """Returns the history of the subtree that contains a path."""
+        found = self._authorize(operator, path)
         if isinstance(found, result.Err):
             return found
         subtree = found.ok_value.subtree
@@ -142,10 +142,10 @@
             return result.Err(errors.NoSuchPath(detail=detail))
         read = store.read_history(self._table, subtree)
         if isinstance(read, result.Err):
-            return result.Err(_explain(read.err_value))
-        return result.Ok(tuple(map(_show_row, read.ok_value)))
+            return result.Err(_make_unreadable(read.err_value))
+        return result.Ok(tuple(map(_make_history_entry, read.ok_value)))
 
-    def _find_path(
+    def _authorize(
         self, operator: str, text: str
     ) -> result.Result[paths.SettingsPath, errors.SettingsFailure]:
         rights = self.find_rights(operator)
@@ -160,7 +160,7 @@
         return result.Err(errors.Forbidden(detail=detail))
 
 
-def _show_row(row: rows.HistoryRow) -> messages.HistoryEntry:
+def _make_history_entry(row: rows.HistoryRow) -> messages.HistoryEntry:
     return messages.HistoryEntry(
         revision=row.revision,
         write_id=row.write_id,
@@ -170,7 +170,7 @@
     )
 
 
-def _explain(failure: store.Failure) -> errors.Unreadable:
+def _make_unreadable(failure: store.Failure) -> errors.Unreadable:
     return errors.Unreadable(
         detail=f"{type(failure).__name__}: {failure.detail}"
     )
--- a/pollenfork/settings/snapshot.py
+++ b/pollenfork/settings/snapshot.py
@@ -1,4 +1,4 @@
-"""A settings tree compiled into the look-ups that requests need."""
+"""Compiles a settings tree for lookups by requests."""
 
 from collections.abc import Mapping
 import hashlib
@@ -11,7 +11,7 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """The account and team that a key stands for."""
+    """The account and team that a key belongs to."""
 
     team: ids.Team
     account: ids.AccountId
@@ -19,11 +19,11 @@
 
 
 class Snapshot:
-    """Immutable look-ups over one tree; read by all threads without locks.
+    """Lookups over one tree; immutable, so threads need no locks.
 
     Attributes:
-        packs: The accounts of each team, reused by the next snapshot for the
-            teams that didn't change.
+        packs: The accounts of each team; the next snapshot reuses those of
+            unchanged teams.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         """Compiles a tree.
 
         Args:
-            tree: The tree; its accounts are read only without `packs`.
+            tree: The tree; its accounts are used only if `packs` is None.
             packs: Packed accounts of every team in the tree.
         """
         self.tree = tree
@@ -44,15 +44,15 @@
 
     @property
     def account_count(self) -> int:
-        """How many accounts the tree has."""
+        """The number of accounts in the tree."""
         return len(self._index)
 
     def find_caller(self, key: str) -> Caller | None:
-        """Returns whose key this is; keys are kept only as digests."""
+        """Returns the owner of a key; keys are stored only as digests."""
         return self.find_owner(hash_key(key))
 
     def find_owner(self, digest: str) -> Caller | None:
-        """Returns whose key has this SHA-256 hex digest."""
+        """Returns the owner of the key with this SHA-256 hex digest."""
         found = self._index.find(digest)
         if found is None:
             return None
@@ -68,7 +68,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the digest under which the settings keep a bearer key."""
+    """Returns the digest that the settings store for a bearer key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
--- a/pollenfork/settings/state.py
+++ b/pollenfork/settings/state.py
@@ -1,4 +1,4 @@
-"""The tree at one revision: its subtrees as written and as compiled."""
+"""The tree at one revision: stored subtrees and compiled form."""
 
 from collections.abc import Iterable, Mapping
 from typing import TypeVar
@@ -19,12 +19,12 @@
 
 
 class Subtree(msgspec.Struct, frozen=True):
-    """One subtree as it was written.
+    """One subtree, stored as the operator wrote it.
 
     Attributes:
-        revision: The tree's revision at which it last changed.
-        history: Revisions whose history rows are kept, oldest first.
-        packed: Its JSON, compressed.
+        revision: The tree's revision at the subtree's last change.
+        history: Revisions that have a history row, oldest first.
+        packed: The JSON, compressed with zlib.
     """
 
     path: str
@@ -41,8 +41,8 @@
     """The tree at one revision; immutable.
 
     Attributes:
-        subtrees: Every subtree by its path, the root first.
-        lookups: The same, compiled; its tree leaves the accounts out.
+        subtrees: All subtrees by path, the root first.
+        lookups: The compiled tree; its teams have no accounts.
     """
 
     revision: ids.Revision
@@ -68,7 +68,7 @@
     history: tuple[ids.Revision, ...],
     value: bytes,
 ) -> Subtree:
-    """Returns the subtree that holds the JSON `value`."""
+    """Returns a subtree with the JSON `value`."""
     return Subtree(path, revision, history, zlib.compress(value, 1))
 
 
@@ -77,15 +77,15 @@
     subtrees: Iterable[Subtree],
     previous: InForce = EMPTY,
 ) -> result.Result[InForce, errors.UnreadableRow]:
-    """Returns the tree that the subtrees make.
+    """Compiles subtrees into a tree.
 
     Args:
         revision: The tree's revision.
-        subtrees: Every subtree.
-        previous: An earlier tree; what didn't change since is reused.
+        subtrees: All subtrees.
+        previous: An earlier tree; unchanged parts are reused.
     """
     by_path = {
-        subtree.path: _find_in(previous, subtree) or subtree
+        subtree.path: _find_unchanged(previous, subtree) or subtree
         for subtree in subtrees
     }
     root = _compile_root(by_path.get(paths.ROOT), previous)
@@ -111,7 +111,7 @@
 ) -> result.Result[model.RootSettings, errors.UnreadableRow]:
     if subtree is None:
         return result.Ok(model.RootSettings())
-    if _find_in(previous, subtree):
+    if _find_unchanged(previous, subtree):
         return result.Ok(previous.tree.root)
     return _decode(subtree, model.RootSettings)
 
@@ -121,7 +121,7 @@
 ) -> result.Result[
     tuple[model.TeamSettings, accounts.AccountPack], errors.UnreadableRow
 ]:
-    if _find_in(previous, subtree):
+    if _find_unchanged(previous, subtree):
         return result.Ok(
             (previous.tree.teams[team], previous.lookups.packs[team])
         )
@@ -133,8 +133,8 @@
     return result.Ok((msgspec.structs.replace(settings, accounts={}), pack))
 
 
-def _find_in(previous: InForce, subtree: Subtree) -> Subtree | None:
-    """Returns the earlier tree's own copy, if it is of the same revision."""
+def _find_unchanged(previous: InForce, subtree: Subtree) -> Subtree | None:
+    """Returns the previous tree's subtree if its revision is the same."""
     known = previous.subtrees.get(subtree.path)
     return known if known and known.revision == subtree.revision else None
 
--- a/pollenfork/settings/store.py
+++ b/pollenfork/settings/store.py
@@ -14,16 +14,16 @@
 
 Failure = platform_errors.PlatformFailure | errors.SettingsFailure
 
-_TRIES = 4
-_SCAN_LIMIT = 50  # Rows in one answer: subtrees can be large.
-_SCAN_FROM = 8  # Changed subtrees from which one scan beats single reads.
+_MAX_ATTEMPTS = 4
+_SCAN_PAGE_SIZE = 50  # Rows per page; small, because subtrees can be large.
+_SCAN_THRESHOLD = 8  # Number of changed subtrees from which a scan is cheaper.
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The head row and the version that a write has to compare.
+    """The head row and the version that a write is conditional on.
 
     Attributes:
-        version: `edges.ABSENT` while the table holds no tree.
+        version: `edges.ABSENT` if the table has no tree.
     """
 
     row: rows.HeadRow
@@ -33,7 +33,7 @@
 def read_head(
     table: edges.TableService,
 ) -> result.Result[Head, Failure]:
-    """Returns the head row; one of revision 0 where there is none."""
+    """Returns the head row, or one of revision 0 if there is none."""
     read = table.read(rows.HEAD_KEY)
     if isinstance(read, result.Err):
         return read
@@ -51,14 +51,14 @@
 ) -> result.Result[state.InForce, Failure]:
     """Returns the newest tree in the table.
 
-    Only what changed since `previous` is read. The result is the tree at one
-    revision: where a write overtakes the read, the head is read again.
+    Only subtrees changed since `previous` are read. The result is consistent:
+    if a write interferes, the read starts again from the head row.
 
     Args:
         table: The platform's table.
         previous: The tree in force, or `state.EMPTY`.
     """
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         read = read_head(table)
         if isinstance(read, result.Err):
             return read
@@ -72,10 +72,10 @@
 def read_tree_at(
     table: edges.TableService, head: rows.HeadRow, previous: state.InForce
 ) -> result.Result[state.InForce, Failure]:
-    """Returns the tree that the head describes.
+    """Returns the tree described by a head row.
 
-    `TreeMoving` where a write has replaced part of it already, `TableBehind`
-    where the head is older than `previous`.
+    Fails with `TreeMoving` if a later write has already replaced a subtree,
+    and with `TableBehind` if the head is older than `previous`.
     """
     if head.revision == previous.revision:
         return result.Ok(previous)
@@ -104,7 +104,7 @@
 def read_history(
     table: edges.TableService, path: str
 ) -> result.Result[tuple[rows.HistoryRow, ...], Failure]:
-    """Returns the kept writes of one subtree, oldest first."""
+    """Returns the history of one subtree, oldest first."""
     read = _scan(table, rows.make_history_prefix(path))
     if isinstance(read, result.Err):
         return read
@@ -133,7 +133,7 @@
 def _read_subtrees(
     table: edges.TableService, paths: list[str]
 ) -> result.Result[list[state.Subtree], Failure]:
-    if len(paths) >= _SCAN_FROM:
+    if len(paths) >= _SCAN_THRESHOLD:
         scanned = _scan(table, rows.make_subtree_key(""))
         return scanned.and_then(lambda found: _decode_all(found, set(paths)))
     found: list[edges.Row] = []
@@ -152,11 +152,11 @@
     found: list[edges.Row] = []
     after = ""
     while True:
-        read = table.scan(prefix, after, _SCAN_LIMIT)
+        read = table.scan(prefix, after, _SCAN_PAGE_SIZE)
         if isinstance(read, result.Err):
             return read
         found += read.ok_value
-        if len(read.ok_value) < _SCAN_LIMIT:
+        if len(read.ok_value) < _SCAN_PAGE_SIZE:
             return result.Ok(found)
         after = found[-1].key
 
@@ -176,7 +176,7 @@
 
 
 def pack_row(row: rows.SubtreeRow) -> state.Subtree:
-    """Returns the row as the tree in force keeps it."""
+    """Converts a row to a compressed subtree."""
     return state.pack_subtree(
         row.path, row.revision, row.history, bytes(row.value)
     )
--- a/pollenfork/settings/tests/support.py
+++ b/pollenfork/settings/tests/support.py
@@ -1,4 +1,4 @@
-"""Trees and a table for the tests of the settings slice."""
+"""Example trees and a fake table for the settings tests."""
 
 import copy
 import random
@@ -115,11 +115,11 @@
 
 
 class FakeTable:
-    """The platform's fake with a script of faults for the commits to come.
+    """The fake platform table with scripted faults.
 
-    `faults` is used up by the commits, None standing for a good one;
-    `before_commit` is called once, as a race that another writer wins, and
-    `after_head` once between the read of the head row and what follows.
+    Each commit consumes one entry of `faults`; None means no fault.
+    `before_commit` is called once before a commit, to let another writer win
+    the race; `after_head` is called once after a read of the head row.
     """
 
     def __init__(self, shared: "FakeTable | None" = None) -> None:
@@ -140,10 +140,10 @@
         return {row.key: row for row in found}
 
     def cut(self, down: bool = True) -> None:
-        """Cuts this view of the table off, or heals it."""
+        """Makes the table unavailable to this instance, or available."""
         self._platform.set_faults(platform_configs.Faults(down=down))
 
-    def forget_write_ids(self) -> None:
+    def expire_write_ids(self) -> None:
         self.clock.advance(3600.0)
 
     def lose_rows(self) -> None:
@@ -176,7 +176,7 @@
 
 
 class Site:
-    """One instance's writer with its clock, on a table that may be shared."""
+    """One instance's writer and clock; the table may be shared."""
 
     def __init__(self, table: FakeTable | None = None, seed: int = 0) -> None:
         self.table = table or FakeTable()
@@ -192,7 +192,7 @@
         )
 
     def wait(self, seconds: float) -> None:
-        """Lets the clock pass, and never stand still."""
+        """Advances the clock, always by more than zero."""
         self.clock.advance(max(seconds, 0.001))
 
     def write(self, path: str, value: object, expected: int, **kwargs):
--- a/pollenfork/settings/tests/test_accounts.py
+++ b/pollenfork/settings/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Packed accounts: each is found by its whole digest and no other."""
+"""Tests lookups of packed accounts, also with equal digest prefixes."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 from pollenfork.settings import model
 
 PREFIX = "ab" * 5
-# Digests of which many share the part that the index sorts by.
+# Many of these digests share the prefix that the index is sorted by.
 DIGESTS = st.builds(
     lambda prefix, rest: prefix + rest,
     st.sampled_from([PREFIX, "ab" * 4 + "ac", "00" * 5, "ff" * 5]),
--- a/pollenfork/settings/tests/test_core.py
+++ b/pollenfork/settings/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core's rules one at a time; `test_machine` joins them with faults."""
+"""Tests single rules of the core; `test_machine` combines them."""
 
 import itertools
 import random
@@ -21,7 +21,7 @@
     return made
 
 
-def test_no_source_brings_an_older_tree_back() -> None:
+def test_older_trees_are_ignored_from_every_source() -> None:
     made = make_core(5)
     older = make_tree(4)
     assert made.handle_read(older, 1.0) == []
@@ -30,7 +30,7 @@
     assert made.revision == 5
 
 
-def test_every_source_brings_a_newer_tree() -> None:
+def test_newer_trees_are_adopted_from_every_source() -> None:
     made = make_core(5)
     found = [
         made.handle_read(make_tree(6), 1.0),
@@ -41,7 +41,7 @@
     assert made.revision == 8
 
 
-def test_polls_are_spread_around_their_mean() -> None:
+def test_poll_delays_are_jittered() -> None:
     made = make_core(5)
     reads = [
         step / 10
@@ -53,7 +53,7 @@
     assert 5.5 < max(gaps) < 6.2
 
 
-def test_a_failed_read_is_repeated_sooner_and_then_ever_later() -> None:
+def test_failed_reads_are_retried_with_exponential_backoff() -> None:
     made = make_core(5)
     reads = []
     for step in range(400):
@@ -70,14 +70,14 @@
     assert core.ReadTable() in made.tick(40.0 + 1.2)
 
 
-def test_a_peer_ahead_brings_the_next_read_forward() -> None:
+def test_a_peer_with_a_newer_revision_advances_the_read() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 6, 0.5)
     assert core.ReadTable() in made.tick(0.5 + core.READ_SPREAD_S)
 
 
-def test_many_peers_ahead_bring_the_next_read_no_further_forward() -> None:
+def test_many_newer_peers_advance_the_read_no_more_than_one() -> None:
     reads = []
     for peers in (1, 60):
         made = make_core(5)
@@ -91,7 +91,7 @@
     assert reads[0] == reads[1] > 0.5
 
 
-def test_a_peer_level_or_behind_brings_nothing_forward() -> None:
+def test_a_peer_with_no_newer_revision_does_not_advance_the_read() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 5, 0.5)
@@ -99,7 +99,7 @@
     assert made.tick(0.5 + core.READ_SPREAD_S) == []
 
 
-def test_a_peer_ahead_is_asked_only_while_the_platform_is_away() -> None:
+def test_a_newer_peer_is_asked_only_while_the_table_is_unavailable() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 7, 0.1)
@@ -112,7 +112,7 @@
     assert made.tick(0.4) == [core.FetchCopy("other")]
 
 
-def test_a_peer_whose_copy_failed_is_asked_again_without_its_voice() -> None:
+def test_a_failed_fetch_is_retried_without_a_new_heartbeat() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 7, 0.1)
@@ -124,7 +124,7 @@
     assert core.FetchCopy("peer") in made.tick(later)
 
 
-def test_a_peer_that_gives_less_than_it_said_is_left_alone() -> None:
+def test_a_peer_whose_copy_is_older_than_announced_is_not_asked_again() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 7, 0.1)
@@ -135,14 +135,16 @@
     assert core.FetchCopy("peer") not in made.tick(0.4)
 
 
-def test_a_table_that_lags_behind_a_peer_is_made_up_for() -> None:
+def test_a_peer_is_asked_if_the_table_is_behind_it() -> None:
     made = make_core(5)
     made.record_peer_revision("peer", 7, 0.1)
     assert made.handle_read(make_tree(6), 0.2)[-1] == core.FetchCopy("peer")
     assert made.handle_read(None, 9.0) == [core.FetchCopy("peer")]
 
 
-def test_a_restart_without_the_platform_hears_peers_before_it_asks() -> None:
+def test_a_restart_without_the_table_collects_revisions_before_a_fetch() -> (
+    None
+):
     made = make_core()
     made.handle_read_failure(0.0)
     made.record_peer_revision("behind", 4, 0.1)
@@ -154,7 +156,7 @@
     assert made.revision == 9
 
 
-def test_a_peer_that_is_gone_is_not_asked() -> None:
+def test_a_removed_peer_is_not_asked() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 7, 0.1)
@@ -163,7 +165,7 @@
     assert made.tick(0.2) == []
 
 
-def test_a_copy_that_never_comes_is_asked_for_again() -> None:
+def test_a_fetch_without_an_answer_is_retried_after_its_timeout() -> None:
     made = make_core(5)
     made.tick(0.0)
     made.record_peer_revision("peer", 7, 0.1)
@@ -173,7 +175,7 @@
     assert core.FetchCopy("peer") in made.tick(later)
 
 
-def test_age_counts_from_the_last_proof_of_being_newest() -> None:
+def test_age_counts_from_the_last_confirmation() -> None:
     made = make_core()
     assert made.age_s(1.0) is None
     made.handle_read(make_tree(5), 1.0)
@@ -187,7 +189,7 @@
     assert made.age_s(8.0) == 1.0
 
 
-def test_an_empty_table_puts_nothing_in_force() -> None:
+def test_an_empty_table_is_not_adopted() -> None:
     made = make_core()
     assert made.handle_read(state.EMPTY, 1.0) == []
     assert made.in_force is None
--- a/pollenfork/settings/tests/test_machine.py
+++ b/pollenfork/settings/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Several instances, one table, and every fault between them, interleaved."""
+"""Interleaves writes, reads and faults of several instances on one table."""
 
 import random
 
@@ -30,14 +30,14 @@
         "root/ceilings/linework/max_in_flight",
     ]
 )
-VALUES = st.integers(1, 9)  # A tier of 7 to 9 breaks a rule.
+VALUES = st.integers(1, 9)  # Tiers 7 to 9 are invalid.
 FAULTS = st.lists(
     st.sampled_from([None, "down", "lost_before", "lost_after"]), max_size=3
 )
 
 
 class Instance:
-    """One instance: its view of the table, its keeper, its writer."""
+    """One instance: its table connection, action executor and writer."""
 
     def __init__(self, world: "SettingsMachine", number: int) -> None:
         self.world = world
@@ -50,20 +50,20 @@
         self.start()
 
     def start(self) -> None:
-        """Starts with nothing, as after a restart."""
+        """Starts without a tree, as after a restart."""
         self.restarts += 1
         rng = random.Random(self.number * 1000 + self.restarts)
         now = self.site.clock.monotonic()
         self.core = core.Core(rng, now)
         self.published: list[int] = []
-        self.keeper = actor.ActionExecutor(
+        self.executor = actor.ActionExecutor(
             self.core,
             self.table,
             self.site.clock,
             metrics.Metrics(),
             self.fetch,
         )
-        self.keeper.subscribers.append(self.note)
+        self.executor.subscribers.append(self.record_published)
         self.late_read: state.InForce | None = None
         self.late_copy: tuple[str, bytes] | None = None
 
@@ -73,21 +73,21 @@
             return result.Err(failures.Failure())
         return result.Ok(copies.encode(held.core.in_force))
 
-    def note(self, message: messages.TreeInForce) -> None:
+    def record_published(self, message: messages.TreeInForce) -> None:
         self.published.append(message.tree.revision)
         assert message.lookups.revision == message.tree.revision
 
-    def hear(self, other: "Instance") -> None:
+    def receive_heartbeat(self, other: "Instance") -> None:
         revision = other.core.revision
-        self.keeper.handle(messages.PeerRevision(other.name, revision))
+        self.executor.handle(messages.PeerRevision(other.name, revision))
 
     def pass_time(self, seconds: float) -> None:
         self.site.clock.advance(seconds)
-        self.keeper.handle(messages.Tick())
+        self.executor.handle(messages.Tick())
 
 
 class SettingsMachine(stateful.RuleBasedStateMachine):
-    """Writes, races, lost answers, late polls, peers, restarts, outages."""
+    """Writes, races, lost answers, slow polls, peers, restarts, outages."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -97,12 +97,12 @@
         self.unknown: dict[str, tuple[str, int, int]] = {}
         self.writes = 0
         seeded = support.Site(self.table).seed()
-        self.note_contents()
+        self.record_contents()
         assert seeded.revision == 1
         self.instances = [Instance(self, number) for number in range(COUNT)]
 
-    def note_contents(self) -> None:
-        """Remembers what the table holds at its present revision."""
+    def record_contents(self) -> None:
+        """Records the table's contents at its current revision."""
         tree = store.read_tree(self.table, state.EMPTY).unwrap()
         self.contents[tree.revision] = read_contents(tree)
 
@@ -114,7 +114,7 @@
         accepted_before = len(self.accepted)
         instance.site.in_force = instance.core.in_force
         outcome = instance.site.write(path, value, expected, write_id=write_id)
-        self.note_contents()
+        self.record_contents()
         after = self.read_head()
         if isinstance(outcome, result.Ok):
             accepted = outcome.ok_value
@@ -123,12 +123,12 @@
             )
             assert owner == (path, write_id)
             self.unknown.pop(write_id, None)
-            instance.keeper.handle(messages.TreeWritten(accepted.tree))
+            instance.executor.handle(messages.TreeWritten(accepted.tree))
         elif isinstance(outcome.err_value, errors.WriteUnknown):
             self.unknown[write_id] = (path, value, expected)
         else:
             self.unknown.pop(write_id, None)
-            # Only a racing write, accepted meanwhile, has had an effect.
+            # Only concurrent accepted writes may have changed the table.
             others = len(self.accepted) - accepted_before
             assert after - before == others
 
@@ -165,10 +165,10 @@
         self.instances[number].table.faults = []
 
     @stateful.precondition(lambda self: self.unknown)
-    @stateful.rule(number=INSTANCES, forgets=st.booleans())
-    def repeat_a_write(self, number: int, forgets: bool) -> None:
-        if forgets:
-            self.instances[number].table.forget_write_ids()
+    @stateful.rule(number=INSTANCES, ids_expired=st.booleans())
+    def repeat_a_write(self, number: int, ids_expired: bool) -> None:
+        if ids_expired:
+            self.instances[number].table.expire_write_ids()
         write_id, (path, value, expected) = next(iter(self.unknown.items()))
         self.send(number, path, value, expected, write_id)
 
@@ -182,7 +182,7 @@
         self.writes += 2
         losing, winning = f"w-{self.writes}", f"w-{self.writes}-won"
         expected = self.find_revision(other)
-        # A race to commit: the second operator's write comes in between.
+        # The second operator's write commits before the first one's.
         if first != second:
             self.instances[first].table.before_commit = lambda: self.send(
                 second, other, value, expected, winning
@@ -198,7 +198,7 @@
     @stateful.rule(speaker=INSTANCES, listener=INSTANCES)
     def heartbeat(self, speaker: int, listener: int) -> None:
         if speaker != listener and self.instances[speaker].reachable:
-            self.instances[listener].hear(self.instances[speaker])
+            self.instances[listener].receive_heartbeat(self.instances[speaker])
 
     @stateful.rule(number=INSTANCES)
     def start_a_slow_poll(self, number: int) -> None:
@@ -214,7 +214,7 @@
         late, instance.late_read = instance.late_read, None
         if late is not None:
             now = instance.site.clock.monotonic()
-            instance.keeper._act(instance.core.handle_read(late, now))
+            instance.executor._run_actions(instance.core.handle_read(late, now))
 
     @stateful.rule(number=INSTANCES, peer=INSTANCES)
     def start_a_slow_copy(self, number: int, peer: int) -> None:
@@ -232,7 +232,7 @@
             found = copies.decode(late[1], previous).unwrap()
             now = instance.site.clock.monotonic()
             actions = instance.core.handle_copy(late[0], found, now)
-            instance.keeper._act(actions)
+            instance.executor._run_actions(actions)
 
     @stateful.rule(number=INSTANCES)
     def restart(self, number: int) -> None:
@@ -248,7 +248,7 @@
         peers = [peer for peer in self.instances if peer is not instance]
         for peer in peers:
             if peer.reachable:
-                instance.hear(peer)
+                instance.receive_heartbeat(peer)
         instance.pass_time(core.DISCOVERY_S + 0.1)
         held = [peer.core.revision for peer in peers if peer.reachable]
         assert instance.core.revision == max(held, default=0)
--- a/pollenfork/settings/tests/test_reference.py
+++ b/pollenfork/settings/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference names every setting with its default, and no other."""
+"""Checks that the reference lists exactly the settings and defaults."""
 
 import pathlib
 import re
--- a/pollenfork/settings/tests/test_rows.py
+++ b/pollenfork/settings/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""Golden bytes of what is kept in the table and sent between instances."""
+"""Tests stored rows and peer copies against golden files."""
 
 import pathlib
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("name", ROWS)
-def test_rows_are_written_as_ever(name) -> None:
+def test_encoded_rows_match_the_golden_files(name) -> None:
     assert rows.encode(ROWS[name]) == read_golden(f"{name}.json")
 
 
@@ -74,7 +74,7 @@
     assert tree.lookups.find_class("ledger", "review").tier == 1
 
 
-def test_a_peer_copy_is_read_as_ever() -> None:
+def test_the_golden_peer_copy_is_decoded() -> None:
     tree = copies.decode(read_golden("copy-1.msgpack")).unwrap()
     written = support.Site().seed()
     assert tree.revision == written.revision
@@ -85,7 +85,7 @@
     assert tree.lookups.find_caller("treasury-key").team == "ledger"
 
 
-def test_a_peer_copy_shares_what_is_the_same_here() -> None:
+def test_a_peer_copy_reuses_unchanged_subtrees() -> None:
     site = support.Site()
     here = site.seed()
     path = "teams/ledger/classes/review/tier"
@@ -116,7 +116,7 @@
     assert isinstance(copies.decode(bytes(body)), result.Err)
 
 
-def test_a_whole_session_leaves_these_rows() -> None:
+def test_rows_after_a_session_match_the_golden_file() -> None:
     site = support.Site()
     site.seed()
     site.write("teams/ledger/classes/review/tier", 2, 1, write_id="w-2")
--- a/pollenfork/settings/tests/test_schema.py
+++ b/pollenfork/settings/tests/test_schema.py
@@ -1,4 +1,4 @@
-"""The walk that names every error agrees with `msgspec` on what is one."""
+"""Checks that `schema` and `msgspec` reject the same values."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @hypothesis.given(data=st.data())
-def test_the_walk_and_msgspec_refuse_the_same(kind, data) -> None:
+def test_schema_and_msgspec_reject_the_same_values(kind, data) -> None:
     names = [field.encode_name for field in msgspec.structs.fields(kind)]
     value = data.draw(
         st.dictionaries(st.sampled_from([*names, "other"]), VALUES)
@@ -43,6 +43,6 @@
     walked = schema.convert(value, kind, "here")
     assert walked.ok() == expected
     assert all(found.path == "here" for found in walked.err() or ())
-    # The walk itself must see it: `msgspec`'s own words name one error only.
+    # The walk must find the error itself: `msgspec` reports only the first.
     seen = tuple(schema._walk_struct(value, schema._describe(kind), "here"))
     assert bool(seen) == (expected is None)
--- a/pollenfork/settings/tests/test_validation.py
+++ b/pollenfork/settings/tests/test_validation.py
@@ -9,7 +9,7 @@
 DISPATCH = "teams.linework.accounts.dispatch"
 DIGEST = r"text that matches ^[0-9a-f]{64}\Z"
 
-# Where, what is put there (None removes it), and every error by its text.
+# Path, new value (None removes the entry), and all expected errors.
 CASES = [
     (f"{MORNING}.target_first_token_ms", 0,
      [f"{MORNING}: target_first_token_ms must be > 0"]),
@@ -90,13 +90,13 @@
 
 
 @pytest.mark.parametrize(("place", "value", "expected"), CASES)
-def test_every_broken_rule_is_named(place, value, expected) -> None:
+def test_every_violation_is_reported(place, value, expected) -> None:
     checked = validation.check_tree(support.edit(support.TREE, place, value))
     found = checked.err().violations if checked.is_err() else ()
     assert [str(violation) for violation in found] == expected
 
 
-def test_all_errors_come_at_once() -> None:
+def test_all_violations_are_reported_together() -> None:
     tree = support.edit(support.TREE, f"{MORNING}.tier", 9)
     tree = support.edit(tree, f"{MORNING}.target_gap_ms", 0)
     tree = support.edit(tree, "root.services.photos.timeout_ms", 0)
@@ -121,13 +121,13 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"\xff", b"[" * 100_000, b'{"a": NaN}', b"Infinity"]
 )
-def test_what_is_not_json_is_refused(body) -> None:
+def test_invalid_json_is_rejected(body) -> None:
     found = documents.decode(body).err().violations
     assert [violation.path for violation in found] == [""]
     assert found[0].rule.startswith("not JSON: ")
 
 
-def test_a_name_that_stands_twice_is_named_with_its_place() -> None:
+def test_duplicate_names_are_reported_with_their_path() -> None:
     body = b"""{"teams": {"a": {"classes": {"x": {"tier": 1}, "x": {}}}},
         "root": {"operator_sha256": [], "operator_sha256": []},
         "list": [{"y": 1, "y": 2, "y": 3}]}"""
@@ -139,13 +139,15 @@
     ]
 
 
-def test_deep_nesting_is_refused() -> None:
+def test_deep_nesting_is_rejected() -> None:
     body = b'{"a":' * 900 + b"1" + b"}" * 900
     found = documents.decode(body).err().violations
     assert [violation.rule for violation in found] == ["is nested too deep"]
 
 
-def test_an_object_that_was_dropped_lends_its_names_to_no_other() -> None:
+def test_duplicates_in_a_discarded_object_are_not_attributed_to_another() -> (
+    None
+):
     body = b'[{"a": {"x": 1, "x": 2}, "a": 0}, {"y": 1}, {"y": 1}]'
     found = documents.decode(body).err().violations
     assert [str(violation) for violation in found] == ["0: a stands twice"]
--- a/pollenfork/settings/tests/test_writer.py
+++ b/pollenfork/settings/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""Fault cases of writes: each row says what the table does and the outcome."""
+"""Tests writes under table faults, races and refusals."""
 
 import pytest
 import result
@@ -22,7 +22,7 @@
     return tree.lookups.find_class("linework", "summary").tier
 
 
-# Faults of the commits to come, the outcome, and the tier kept in the table.
+# Faults of successive commits, the outcome, and the tier in the table.
 FAULTS = [
     ([], "ok", 5),
     (["down"], "ok", 5),
@@ -55,29 +55,29 @@
     assert store.read_tree(site.table, state.EMPTY).unwrap().revision <= 2
 
 
-@pytest.mark.parametrize("forgets", [False, True])
-def test_a_lost_answer_is_found_at_another_instance(forgets) -> None:
+@pytest.mark.parametrize("ids_expired", [False, True])
+def test_a_retry_at_another_instance_finds_the_write(ids_expired) -> None:
     first = support.Site()
     first.seed()
     first.table.faults = ["lost_after"] + ["down"] * 1000
     lost = first.write(CLASS, {"tier": 5}, 1)
     assert isinstance(lost.err(), errors.WriteUnknown)
     first.table.faults = []
-    if forgets:
-        first.table.forget_write_ids()
+    if ids_expired:
+        first.table.expire_write_ids()
     second = support.Site(first.table, seed=1)
     found = second.write(CLASS, {"tier": 5}, 1).unwrap()
     assert (found.revision, found.repeated) == (2, True)
 
 
-def test_a_resent_commit_that_the_table_forgot_finds_its_own_write() -> None:
+def test_a_retried_commit_with_an_expired_id_finds_its_own_write() -> None:
     site = support.Site()
     site.seed()
     site.table.faults = ["lost_after"]
     real_commit = site.table.commit
 
     def forget_and_commit(transaction):
-        site.table.forget_write_ids()
+        site.table.expire_write_ids()
         return real_commit(transaction)
 
     site.table.commit = forget_and_commit
@@ -85,7 +85,7 @@
     assert (found.revision, found.repeated) == (2, True)
 
 
-def test_a_read_that_a_write_overtakes_is_of_one_revision() -> None:
+def test_a_read_during_a_write_is_consistent() -> None:
     first = support.Site()
     first.seed()
     second = support.Site(first.table, seed=1)
@@ -95,7 +95,7 @@
     assert tree.subtrees["teams/linework"].revision == 2
 
 
-def test_a_repeat_that_its_first_sending_overtakes_has_its_tree() -> None:
+def test_a_retry_during_its_first_attempt_returns_the_tree() -> None:
     first = support.Site()
     first.seed()
     second = support.Site(first.table, seed=1)
@@ -105,7 +105,7 @@
     assert found.tree.revision == 2
 
 
-def test_one_write_id_stands_for_one_content() -> None:
+def test_a_write_id_with_different_content_is_rejected() -> None:
     site = support.Site()
     site.seed()
     site.write(CLASS, {"tier": 5}, 1).unwrap()
@@ -140,7 +140,7 @@
     assert read_tier(first) == 5
 
 
-def test_a_ceiling_lowered_meanwhile_refuses_the_raise() -> None:
+def test_a_concurrently_lowered_ceiling_is_enforced() -> None:
     first = support.Site()
     first.seed()
     second = support.Site(first.table, seed=1)
@@ -155,7 +155,7 @@
     ]
 
 
-# Path, value, expected revision, token's digest, and the failure's type.
+# Path, value, expected revision, token digest, and failure type.
 REFUSALS = [
     (CLASS, {"tier": 5}, 1, LEDGER, errors.Forbidden),
     (CLASS, {"tier": 5}, 1, "0" * 64, errors.Forbidden),
@@ -202,7 +202,7 @@
     assert read_tier(site) == 5
 
 
-def test_a_table_that_lost_its_rows_takes_no_write() -> None:
+def test_a_write_fails_if_the_table_lost_its_rows() -> None:
     site = support.Site()
     site.seed()
     site.write(CLASS, {"tier": 5}, 1).unwrap()
--- a/pollenfork/settings/validation.py
+++ b/pollenfork/settings/validation.py
@@ -1,4 +1,4 @@
-"""The rules of the settings tree that no single field can state."""
+"""Validates rules that span several fields of the settings tree."""
 
 from collections.abc import Callable, Iterator, Mapping
 import ipaddress
@@ -16,13 +16,13 @@
 _PORT = re.compile(r"[1-9][0-9]{0,4}")
 
 FindOwner = Callable[[str], str | None]
-"""Returns `team/account` of who else has a key of this digest."""
+"""Returns the other `team/account` that has a key with this digest."""
 
 
 def check_file(
     body: bytes,
 ) -> result.Result[model.Tree, errors.BadDocument | errors.BadTree]:
-    """Returns the whole tree that a file holds, or every error."""
+    """Decodes and validates a settings file, or returns all errors."""
     decoded = documents.decode(body)
     if isinstance(decoded, result.Err):
         return decoded
@@ -30,7 +30,7 @@
 
 
 def check_tree(value: object) -> result.Result[model.Tree, errors.BadTree]:
-    """Returns the whole tree that a JSON value spells, or every error."""
+    """Validates a whole tree, or returns all errors."""
     converted = schema.convert(value, model.Tree, "")
     if isinstance(converted, result.Err):
         return errors.refuse_tree(converted.err_value)
@@ -47,7 +47,7 @@
 def check_root(
     value: object, teams: Mapping[ids.Team, model.TeamSettings]
 ) -> result.Result[model.RootSettings, errors.BadTree]:
-    """Returns a new root that every team still fits, or every error."""
+    """Validates a new root against all teams, or returns all errors."""
     converted = schema.convert(value, model.RootSettings, paths.ROOT)
     if isinstance(converted, result.Err):
         return errors.refuse_tree(converted.err_value)
@@ -61,7 +61,7 @@
     root: model.RootSettings,
     find_owner: FindOwner,
 ) -> result.Result[model.TeamSettings, errors.BadTree]:
-    """Returns a team's new subtree that fits the root, or every error."""
+    """Validates a team's new subtree against the root and other teams."""
     converted = schema.convert(
         value, model.TeamSettings, schema.join("teams", team)
     )
@@ -76,7 +76,7 @@
 def find_root_violations(
     root: model.RootSettings, teams: Mapping[ids.Team, model.TeamSettings]
 ) -> Iterator[errors.Violation]:
-    """Yields what is wrong in the root and what it forbids the teams."""
+    """Yields violations in the root and teams' violations of ceilings."""
     yield from _find_endpoint_violations(root)
     yield from _find_service_violations(root)
     for team, subtree in teams.items():
@@ -86,7 +86,7 @@
 def find_account_violations(
     team: ids.Team, subtree: model.TeamSettings, find_owner: FindOwner
 ) -> Iterator[errors.Violation]:
-    """Yields what is wrong in a team's accounts."""
+    """Yields violations in a team's accounts."""
     seen: dict[str, str] = {}
     for name, account in subtree.accounts.items():
         path = f"teams.{team}.accounts.{name}"
@@ -183,5 +183,6 @@
         ipaddress.ip_address(host)
     except ValueError:
         return False
-    # One spelling for each port, or two endpoints could share an address.
+    # Only one spelling per port (no leading zeros): otherwise two endpoints
+    # could have the same address unnoticed.
     return bool(_PORT.fullmatch(port)) and int(port) < 65536
--- a/pollenfork/settings/writer.py
+++ b/pollenfork/settings/writer.py
@@ -1,4 +1,4 @@
-"""Writes to the tree: compare, commit, and find out what became of it."""
+"""Writes to the tree with optimistic locking and safe retries."""
 
 from collections.abc import Callable, Collection
 import logging
@@ -21,18 +21,18 @@
 _LOG = logging.getLogger(__name__)
 
 WRITE_TIMEOUT_S = 10.0
-"""How long one write is tried before its caller is told."""
-_FIRST_WAIT_S = 0.05
-_LONGEST_WAIT_S = 1.0
+"""How long one write is tried before it fails."""
+_FIRST_BACKOFF_S = 0.05
+_MAX_BACKOFF_S = 1.0
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The write is durable.
+    """A durable write.
 
     Attributes:
-        revision: The tree's revision that it made.
-        tree: A tree of this revision or a later one.
-        repeated: An earlier sending of the same write made it.
+        revision: The tree's revision that the write produced.
+        tree: The tree at this revision or a later one.
+        repeated: An earlier request with the same write id had succeeded.
     """
 
     revision: ids.Revision
@@ -41,7 +41,7 @@
 
 
 class _TableState(msgspec.Struct, frozen=True):
-    """What the table holds as a write begins."""
+    """The table's contents that a write is based on."""
 
     head: store.Head
     tree: state.InForce
@@ -49,7 +49,7 @@
 
 
 class Writer:
-    """Carries out operators' writes; any thread may call it."""
+    """Performs operators' writes; thread-safe."""
 
     def __init__(
         self,
@@ -60,14 +60,14 @@
         get_in_force: Callable[[], state.InForce | None],
         first_operators: Collection[str] = (),
     ) -> None:
-        """Wires a writer.
+        """Creates a writer.
 
         Args:
             table: The platform's table.
             now: The clock.
-            rng: For the waits and the ids of transactions.
-            wait: Sleeps so many seconds.
-            get_in_force: Returns the tree in force here, a start for reads.
+            rng: Randomness for backoff and transaction ids.
+            wait: Sleeps for the given seconds.
+            get_in_force: Returns the tree in force; reads start from it.
             first_operators: See `authority.find_rights`.
         """
         self._table = table
@@ -80,11 +80,12 @@
     def write(
         self, change: changes.Change
     ) -> result.Result[Accepted, errors.SettingsFailure]:
-        """Carries out one write; returns once its fate is known, or in time.
+        """Performs one write; retries until its outcome is known or times out.
 
         Failures: `BadTree`, `Stale`, `Forbidden`, `NoSuchPath` and
-        `WriteIdReused` say no; `NotWritten` had no effect and will have none;
-        after `WriteUnknown` the same write id may be sent again safely.
+        `WriteIdReused` reject the write; after `NotWritten` it had no effect
+        and will not take effect later; after `WriteUnknown` a retry with the
+        same write id is safe.
         """
         outcome = _WriteOperation(self, change).run()
         if isinstance(outcome, result.Ok):
@@ -105,7 +106,7 @@
 
 
 class _WriteOperation:
-    """One write, from its first read to its known fate."""
+    """One write with all its retries."""
 
     def __init__(self, writer: Writer, change: changes.Change) -> None:
         self._writer = writer
@@ -113,21 +114,21 @@
         self._clock = writer._clock
         self._change = change
         self._deadline = self._clock.monotonic() + WRITE_TIMEOUT_S
-        self._waited = 0
+        self._backoff_count = 0
         self._may_have_effect = False
         self._last_failure: store.Failure | None = None
 
     def run(self) -> result.Result[Accepted, errors.SettingsFailure]:
         while self._has_time():
-            base = self._read_base()
+            base = self._read_table()
             if isinstance(base, result.Err):
                 self._pause(base.err_value)
                 continue
-            # A commit whose answer was lost either shows in what was just
-            # read or has lost its condition, as `_commit` sees to it.
-            settled = self._settle(base.ok_value)
-            if settled is not None:
-                return settled
+            # A commit whose answer was lost either shows up in this read or
+            # can no longer succeed: `_commit` returns None only then.
+            resolved = self._resolve_without_commit(base.ok_value)
+            if resolved is not None:
+                return resolved
             planned = changes.plan(self._change, base.ok_value.tree)
             if isinstance(planned, result.Err):
                 return planned
@@ -136,7 +137,7 @@
                 return committed
         return self._give_up()
 
-    def _read_base(self) -> result.Result[_TableState, store.Failure]:
+    def _read_table(self) -> result.Result[_TableState, store.Failure]:
         head = store.read_head(self._table)
         if isinstance(head, result.Err):
             return head
@@ -144,8 +145,8 @@
         tree = store.read_tree_at(self._table, head.ok_value.row, previous)
         if isinstance(tree, result.Err):
             return tree
-        # Read after the head: what it holds more than the head refuses the
-        # commit, so that no record of another write is ever overwritten.
+        # Read after the head: if a write came in between, the commit fails
+        # on the head's version, so no write record is ever overwritten.
         writes = store.read_writes(self._table)
         if isinstance(writes, result.Err):
             return writes
@@ -154,14 +155,14 @@
             return result.Err(errors.TreeMoving(detail="a write came between"))
         return result.Ok(_TableState(head.ok_value, tree.ok_value, found))
 
-    def _settle(
+    def _resolve_without_commit(
         self, base: _TableState
     ) -> result.Result[Accepted, errors.SettingsFailure] | None:
-        """Returns the write's fate where it is plain without a commit."""
+        """Returns the outcome if it is known without a commit."""
         change = self._change
         for record in base.writes:
             if record.write_id == change.write_id:
-                return self._answer_repeat(record, base.tree)
+                return self._resolve_retry(record, base.tree)
         rights = authority.find_rights(
             base.tree.tree, change.operator, self._writer._first_operators
         )
@@ -176,7 +177,7 @@
             return result.Err(errors.Stale(detail=detail, current=current))
         return None
 
-    def _answer_repeat(
+    def _resolve_retry(
         self, record: rows.WriteRecord, tree: state.InForce
     ) -> result.Result[Accepted, errors.SettingsFailure]:
         if record.digest != self._change.digest():
@@ -187,10 +188,10 @@
     def _commit(
         self, base: _TableState, planned: changes.Plan
     ) -> result.Result[Accepted, errors.SettingsFailure] | None:
-        """Commits, or returns None where the table has to be read again.
+        """Commits, or returns None if the table must be read again.
 
-        None is returned only when this transaction can't take effect any
-        more, or has done so: its condition on the head was refused.
+        None means that the condition on the head failed: the transaction
+        has already taken effect or never will.
         """
         if planned.tree.revision == base.tree.revision:
             return result.Ok(Accepted(base.tree.revision, base.tree))
@@ -220,8 +221,9 @@
             base.writes,
             self._clock.wall(),
         )
-        # The id is new for each set of rows, so that the table never answers
-        # for another one; the operator's write id stands in the rows.
+        # A new id for each set of rows: with a reused id the table would
+        # return the result of another transaction. The operator's write id
+        # is stored in the rows.
         nonce = self._writer._rng.getrandbits(64)
         transaction_id = ids.WriteId(f"{self._change.write_id}.{nonce:016x}")
         return edges.Transaction(transaction_id, puts, deletes)
@@ -230,8 +232,8 @@
         return self._clock.monotonic() < self._deadline
 
     def _pause(self, failure: store.Failure) -> None:
-        longest = min(_LONGEST_WAIT_S, _FIRST_WAIT_S * 2**self._waited)
-        self._waited += 1
+        longest = min(_MAX_BACKOFF_S, _FIRST_BACKOFF_S * 2**self._backoff_count)
+        self._backoff_count += 1
         self._last_failure = failure
         seconds = longest * self._writer._rng.uniform(0.5, 1.0)
         if isinstance(failure, platform_errors.Throttled):
