--- a/pollenfork/settings/accounts.py
+++ b/pollenfork/settings/accounts.py
@@ -61,7 +61,7 @@
         return len(self._ends)
 
     def read(self, number: int) -> PackedAccount:
-        """Decodes the account at index `number`."""
+        """Decodes the account at index `number`, counted from 0."""
         start = self._ends[number - 1] if number else 0
         return _DECODER.decode(self._blob[start : self._ends[number]])
 
--- a/pollenfork/settings/changes.py
+++ b/pollenfork/settings/changes.py
@@ -47,13 +47,13 @@
     Attributes:
         written: Subtrees to write.
         removed: Paths of the subtrees to remove.
-        dropped: Keys of the rows to delete.
+        deleted_keys: Keys of the rows to delete.
         tree: The resulting tree, compiled.
     """
 
     written: tuple[state.Subtree, ...]
     removed: tuple[str, ...]
-    dropped: tuple[str, ...]
+    deleted_keys: tuple[str, ...]
     tree: state.InForce
 
 
@@ -141,7 +141,7 @@
         )
     for path in planned.removed:
         puts.append(_put_history(change, path, tree, at, b"null"))
-    deletes = tuple(edges.Delete(key) for key in planned.dropped)
+    deletes = tuple(edges.Delete(key) for key in planned.deleted_keys)
     return tuple(puts), deletes
 
 
@@ -232,11 +232,11 @@
     for path in removed:
         del subtrees[path]
     ordered = [subtrees[path] for path in sorted(subtrees)]
-    dropped = _list_expired_history(tuple(changed), tree)
-    dropped += [rows.make_subtree_key(path) for path in removed]
+    deleted_keys = _list_expired_history(tuple(changed), tree)
+    deleted_keys += [rows.make_subtree_key(path) for path in removed]
     compiled = state.compile_tree(revision, ordered, tree)
     return compiled.map(
-        lambda after: Plan(written, removed, tuple(dropped), after)
+        lambda after: Plan(written, removed, tuple(deleted_keys), after)
     )
 
 
--- a/pollenfork/settings/tests/test_machine.py
+++ b/pollenfork/settings/tests/test_machine.py
@@ -166,7 +166,7 @@
 
     @stateful.precondition(lambda self: self.unknown)
     @stateful.rule(number=INSTANCES, ids_expired=st.booleans())
-    def repeat_a_write(self, number: int, ids_expired: bool) -> None:
+    def retry_an_unknown_write(self, number: int, ids_expired: bool) -> None:
         if ids_expired:
             self.instances[number].table.expire_write_ids()
         write_id, (path, value, expected) = next(iter(self.unknown.items()))
@@ -195,10 +195,10 @@
     def wait(self, number: int, seconds: float) -> None:
         self.instances[number].pass_time(seconds)
 
-    @stateful.rule(speaker=INSTANCES, listener=INSTANCES)
-    def heartbeat(self, speaker: int, listener: int) -> None:
-        if speaker != listener and self.instances[speaker].reachable:
-            self.instances[listener].receive_heartbeat(self.instances[speaker])
+    @stateful.rule(sender=INSTANCES, receiver=INSTANCES)
+    def heartbeat(self, sender: int, receiver: int) -> None:
+        if sender != receiver and self.instances[sender].reachable:
+            self.instances[receiver].receive_heartbeat(self.instances[sender])
 
     @stateful.rule(number=INSTANCES)
     def start_a_slow_poll(self, number: int) -> None:
@@ -262,14 +262,14 @@
         self.instances[number].reachable = reachable
 
     @stateful.invariant()
-    def nothing_in_force_goes_back(self) -> None:
+    def revisions_in_force_only_grow(self) -> None:
         for instance in self.instances:
             published = instance.published
             assert published == sorted(set(published))
             assert instance.core.revision == max(published, default=0)
 
     @stateful.invariant()
-    def what_is_in_force_was_accepted_as_a_whole(self) -> None:
+    def trees_in_force_match_accepted_contents(self) -> None:
         for instance in self.instances:
             tree = instance.core.in_force
             if tree is not None:
--- a/pollenfork/settings/tests/test_reference.py
+++ b/pollenfork/settings/tests/test_reference.py
@@ -41,5 +41,5 @@
 
 
 @pytest.mark.parametrize("title", SECTIONS)
-def test_the_reference_is_complete(title) -> None:
+def test_reference_lists_all_settings_and_defaults(title) -> None:
     assert read_section(title) == list_settings(SECTIONS[title])
