--- a/pollenfork/settings/tests/test_reference.py
+++ b/pollenfork/settings/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference names every setting with its default, and no other."""
+"""Checks that the reference lists exactly the settings and defaults."""
 
 import pathlib
 import re
@@ -41,5 +41,5 @@
 
 
 @pytest.mark.parametrize("title", SECTIONS)
-def test_the_reference_is_complete(title) -> None:
+def test_reference_lists_all_settings_and_defaults(title) -> None:
     assert read_section(title) == list_settings(SECTIONS[title])
