--- a/pollenfork/load/__init__.py
+++ b/pollenfork/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load and its report: attainment, goodput, wasted work."""
+"""Open-loop load generator that reports attainment, goodput and waste."""
--- a/pollenfork/load/answer.py
+++ b/pollenfork/load/answer.py
@@ -1,4 +1,4 @@
-"""Checks an answer for wholeness as its bytes come in."""
+"""Checks while an answer is received that it is complete."""
 
 import msgspec
 
@@ -34,12 +34,12 @@
 
 
 class StreamReader:
-    """Reads a streamed answer; positions must grow by one from 0.
+    """Parses a streamed answer; event ids must count up from 0.
 
     Attributes:
         tokens: Tokens received in order.
-        fault: What was wrong, once something was.
-        whole: The finish marker came after a finish reason.
+        fault: The first error found; empty as long as there is none.
+        whole: Whether `[DONE]` followed a finish reason.
         text: The answer's text so far.
     """
 
@@ -48,41 +48,41 @@
         self.fault = ""
         self.whole = False
         self._buffer = b""
-        self._parts: list[str] = []
-        self._finished = False
+        self._chunks: list[str] = []
+        self._has_finish_reason = False
 
     @property
     def text(self) -> str:
         """The answer's text so far."""
-        return "".join(self._parts)
+        return "".join(self._chunks)
 
     def feed(self, data: bytes) -> int:
-        """Takes bytes; returns how many tokens they completed."""
+        """Adds received bytes; returns how many tokens they completed."""
         before = self.tokens
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
             if not self.fault:
-                self._take(event)
+                self._process_event(event)
         return self.tokens - before
 
     def close(self) -> None:
-        """The connection ended: without the finish marker it is a fault."""
+        """Handles the end of the connection: an error before `[DONE]`."""
         if not self.whole and not self.fault:
             self.fault = "cut_off"
 
-    def _take(self, event: bytes) -> None:
-        position, data = _split(event)
+    def _process_event(self, event: bytes) -> None:
+        position, data = _parse_event(event)
         if data is None:
-            return  # A comment that keeps the connection alive.
+            return  # A keep-alive comment.
         if self.whole:
             self.fault = "after_done"
         elif data == _DONE:
-            self.whole = self._finished
-            self.fault = "" if self._finished else "no_finish_reason"
+            self.whole = self._has_finish_reason
+            self.fault = "" if self._has_finish_reason else "no_finish_reason"
         else:
-            self._take_token(position, data)
+            self._process_token(position, data)
 
-    def _take_token(self, position: int | None, data: bytes) -> None:
+    def _process_token(self, position: int | None, data: bytes) -> None:
         try:
             parsed = _DECODER.decode(data)
         except msgspec.MsgspecError:
@@ -97,29 +97,29 @@
         elif parsed.choices:
             choice = parsed.choices[0]
             self.tokens += 1
-            self._parts.append(choice.delta.content or choice.text or "")
-            self._finished = choice.finish_reason is not None
+            self._chunks.append(choice.delta.content or choice.text or "")
+            self._has_finish_reason = choice.finish_reason is not None
 
 
 class PlainReader:
-    """Reads an answer without streaming, whole."""
+    """Parses an answer that isn't streamed."""
 
     def __init__(self) -> None:
         self.tokens = 0
         self.fault = ""
         self.whole = False
         self.text = ""
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
 
     def feed(self, data: bytes) -> int:
-        """Takes bytes; the tokens count only at the end."""
-        self._parts.append(data)
+        """Adds received bytes; tokens are counted only in `close`."""
+        self._chunks.append(data)
         return 0
 
     def close(self) -> None:
-        """The answer ended."""
+        """Parses the complete body."""
         try:
-            parsed = _DECODER.decode(b"".join(self._parts))
+            parsed = _DECODER.decode(b"".join(self._chunks))
         except msgspec.MsgspecError:
             self.fault = "cut_off"
             return
@@ -133,7 +133,7 @@
 
 
 def read_error_code(body: bytes) -> str:
-    """Returns the typed code of an error's body, or `untyped`."""
+    """Returns the `code` of an error body, or `untyped` without one."""
     try:
         error = _DECODER.decode(body).error
     except msgspec.MsgspecError:
@@ -141,7 +141,7 @@
     return (error and error.code) or "untyped"
 
 
-def _split(event: bytes) -> tuple[int | None, bytes | None]:
+def _parse_event(event: bytes) -> tuple[int | None, bytes | None]:
     position, data = None, None
     for line in event.split(b"\n"):
         if line.startswith(b"id: "):
--- a/pollenfork/load/client.py
+++ b/pollenfork/load/client.py
@@ -1,4 +1,4 @@
-"""Sends one request and watches its answer; hundreds share one thread."""
+"""Asynchronous HTTP client that sends requests and records the answers."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
 _US_PER_S = 1_000_000
 
 
-class Watch:
-    """Times and checks one answer."""
+class AnswerRecorder:
+    """Records the timing of one answer and checks its contents."""
 
     def __init__(self, stream: bool, planned_s: float) -> None:
         self.reader: answer.StreamReader | answer.PlainReader = (
@@ -28,29 +28,29 @@
         self.gaps_us: list[int] = []
         self._planned_s = planned_s
         self._last_s = planned_s
-        self._error = b""
+        self._error_body = b""
 
     @property
     def first_token_ms(self) -> float | None:
-        """From the planned arrival to the first token."""
+        """Time from the planned arrival to the first token, in ms."""
         if self.first_s is None:
             return None
         return 1000 * (self.first_s - self._planned_s)
 
     @property
     def error_code(self) -> str:
-        """The typed code of a refusal."""
-        return answer.read_error_code(self._error)
+        """The `code` of an error answer."""
+        return answer.read_error_code(self._error_body)
 
-    def take_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header; its name is in lower case."""
+    def record_header(self, name: bytes, value: bytes) -> None:
+        """Records one header; its name is in lower case."""
         if name == b"x-outcome":
             self.not_run = value == b"not_run"
 
-    def take_data(self, data: bytes, now_s: float) -> None:
-        """Takes bytes of the body."""
+    def record_data(self, data: bytes, now_s: float) -> None:
+        """Records bytes of the body received at `now_s`."""
         if self.status != 200:
-            self._error += data
+            self._error_body += data
             return
         for _ in range(self.reader.feed(data)):
             if self.first_s is None:
@@ -60,7 +60,10 @@
             self._last_s = now_s
 
     def close(self, now_s: float) -> None:
-        """The answer ended."""
+        """Handles the end of the answer.
+
+        An answer that isn't streamed has its first token at its end.
+        """
         if self.status != 200:
             return
         self.reader.close()
@@ -68,19 +71,19 @@
             self.first_s = now_s
 
 
-class _Receiver(asyncio.Protocol):
-    """Sends one request and passes its answer to a watch."""
+class _ClientProtocol(asyncio.Protocol):
+    """Sends one request and feeds the parsed answer to a recorder."""
 
     def __init__(
         self,
         request: bytes,
-        watch: Watch,
+        recorder: AnswerRecorder,
         clock: clocks.Clock,
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.ended: asyncio.Future[None] = loop.create_future()
+        self.finished: asyncio.Future[None] = loop.create_future()
         self._request = request
-        self._watch = watch
+        self._recorder = recorder
         self._clock = clock
         self._now_s = 0.0
         self._parser = httptools.HttpResponseParser(self)
@@ -91,46 +94,46 @@
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Passes on what came."""
+        """Parses received bytes."""
         self._now_s = self._clock.monotonic()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._end(error)
+            self._finish(error)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone; the watch judges what came."""
-        self._watch.close(self._clock.monotonic())
-        self._end(error)
+        """Ends the answer when the connection closes."""
+        self._recorder.close(self._clock.monotonic())
+        self._finish(error)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser read a header."""
-        self._watch.take_header(name.lower(), value)
+        """Called by the parser for each header."""
+        self._recorder.record_header(name.lower(), value)
 
     def on_headers_complete(self) -> None:
-        """The parser read the whole head."""
-        self._watch.status = self._parser.get_status_code()
+        """Called by the parser after the last header."""
+        self._recorder.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """The parser read a part of the body."""
-        self._watch.take_data(data, self._now_s)
+        """Called by the parser for each part of the body."""
+        self._recorder.record_data(data, self._now_s)
 
     def on_message_complete(self) -> None:
-        """The parser read the whole answer."""
-        self._watch.close(self._now_s)
-        self._end(None)
+        """Called by the parser at the end of the answer."""
+        self._recorder.close(self._now_s)
+        self._finish(None)
 
-    def _end(self, error: Exception | None) -> None:
-        if self.ended.done():
+    def _finish(self, error: Exception | None) -> None:
+        if self.finished.done():
             return
         if error is None:
-            self.ended.set_result(None)
+            self.finished.set_result(None)
         else:
-            self.ended.set_exception(error)
+            self.finished.set_exception(error)
 
 
 class Client:
-    """Sends requests as callers do, each on its own connection."""
+    """Sends each request on a new connection."""
 
     def __init__(
         self, scenario: scenarios.Scenario, clock: clocks.Clock
@@ -141,69 +144,71 @@
     async def send(
         self, arrival: plan.Arrival, address: str, started_s: float
     ) -> outcomes.Outcome:
-        """Sends one request; returns what became of it."""
-        kind = self._scenario.classes[arrival.class_name]
-        watch = Watch(kind.stream, started_s + arrival.at_s)
-        reason = ""
+        """Sends one request and returns its outcome."""
+        load_class = self._scenario.classes[arrival.class_name]
+        recorder = AnswerRecorder(load_class.stream, started_s + arrival.at_s)
+        error = ""
         try:
             async with asyncio.timeout(self._scenario.timeout_s):
-                await self._exchange(arrival, kind, address, watch)
+                await self._exchange(arrival, load_class, address, recorder)
         except TimeoutError:
-            reason = "timed_out"
-        except (OSError, httptools.HttpParserError) as error:
-            reason = type(error).__name__
-        end, why = self._judge(arrival, watch, reason)
+            error = "timed_out"
+        except (OSError, httptools.HttpParserError) as raised:
+            error = type(raised).__name__
+        end, reason = self._classify(arrival, recorder, error)
         return outcomes.Outcome(
             class_name=arrival.class_name,
             label=arrival.label,
             end=end,
-            reason=why,
-            first_token_ms=watch.first_token_ms,
-            gaps_us=tuple(watch.gaps_us),
-            tokens=watch.reader.tokens,
+            reason=reason,
+            first_token_ms=recorder.first_token_ms,
+            gaps_us=tuple(recorder.gaps_us),
+            tokens=recorder.reader.tokens,
             ended_s=self._clock.monotonic() - started_s,
         )
 
     async def _exchange(
         self,
         arrival: plan.Arrival,
-        kind: scenarios.LoadClass,
+        load_class: scenarios.LoadClass,
         address: str,
-        watch: Watch,
+        recorder: AnswerRecorder,
     ) -> None:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        request = _make_request(arrival, kind, address)
-        transport, receiver = await loop.create_connection(
-            lambda: _Receiver(request, watch, self._clock, loop),
+        request = _make_request(arrival, load_class, address)
+        transport, protocol = await loop.create_connection(
+            lambda: _ClientProtocol(request, recorder, self._clock, loop),
             host,
             int(port),
         )
         try:
-            await receiver.ended
+            await protocol.finished
         finally:
             transport.abort()
 
-    def _judge(
-        self, arrival: plan.Arrival, watch: Watch, reason: str
+    def _classify(
+        self, arrival: plan.Arrival, recorder: AnswerRecorder, error: str
     ) -> tuple[outcomes.End, str]:
-        if reason == "timed_out":
-            return outcomes.End.TIMED_OUT, reason
-        if watch.status == 0:
-            return outcomes.End.FAILED, reason
-        if watch.status != 200:
-            refused = watch.not_run
+        if error == "timed_out":
+            return outcomes.End.TIMED_OUT, error
+        if recorder.status == 0:
+            return outcomes.End.FAILED, error
+        if recorder.status != 200:
+            refused = recorder.not_run
             end = outcomes.End.REFUSED if refused else outcomes.End.FAILED
-            return end, watch.error_code
-        if not watch.reader.whole or watch.reader.fault:
-            return outcomes.End.BROKEN, watch.reader.fault or "cut_off"
-        if self._scenario.check_text and not _is_text_right(arrival, watch):
+            return end, recorder.error_code
+        if not recorder.reader.whole or recorder.reader.fault:
+            return outcomes.End.BROKEN, recorder.reader.fault or "cut_off"
+        if self._scenario.check_text and not _is_text_correct(
+            arrival, recorder
+        ):
             return outcomes.End.WRONG, "text"
         return outcomes.End.WHOLE, ""
 
 
 def _make_request(
-    arrival: plan.Arrival, kind: scenarios.LoadClass, address: str
+    arrival: plan.Arrival, load_class: scenarios.LoadClass, address: str
 ) -> bytes:
     lines = [
         f"POST {_PATH} HTTP/1.1",
@@ -211,15 +216,15 @@
         "Connection: close",
         "Content-Type: application/json",
         f"Content-Length: {len(arrival.body)}",
-        f"Authorization: Bearer {kind.key}",
+        f"Authorization: Bearer {load_class.key}",
     ]
-    if kind.service_class:
-        lines.append(f"X-Service-Class: {kind.service_class}")
+    if load_class.service_class:
+        lines.append(f"X-Service-Class: {load_class.service_class}")
     return "\r\n".join([*lines, "", ""]).encode() + arrival.body
 
 
-def _is_text_right(arrival: plan.Arrival, watch: Watch) -> bool:
+def _is_text_correct(arrival: plan.Arrival, recorder: AnswerRecorder) -> bool:
     parsed = prompts.parse(arrival.body, chat=True, default_length=1)
     prompt = parsed.unwrap()
     expected = prompts.make_text(prompt.seed, prompt.length)
-    return watch.reader.text == expected
+    return recorder.reader.text == expected
--- a/pollenfork/load/outcome.py
+++ b/pollenfork/load/outcome.py
@@ -1,4 +1,4 @@
-"""What became of one request, as its caller saw it."""
+"""The outcome of one request, as the client saw it."""
 
 import enum
 
@@ -9,23 +9,23 @@
     """How a request ended."""
 
     WHOLE = "whole"
-    REFUSED = "refused"  # Said to be not run.
-    FAILED = "failed"  # An error of any other kind, before the first token.
-    BROKEN = "broken"  # The answer stopped, had a gap or a repeat.
-    WRONG = "wrong"  # Whole in form, with the wrong text.
+    REFUSED = "refused"  # The server stated that the request didn't run.
+    FAILED = "failed"  # Any other error before the first token.
+    BROKEN = "broken"  # The answer was cut off, had a gap or a repeat.
+    WRONG = "wrong"  # Complete and well-formed, but with wrong text.
     TIMED_OUT = "timed_out"
-    NOT_SENT = "not_sent"  # The load tool's own limit.
+    NOT_SENT = "not_sent"  # `Scenario.max_open` was reached.
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """One request's end and times.
+    """The result and timing of one request.
 
     Attributes:
-        reason: The typed code or what was wrong; empty for a whole answer.
+        reason: Error code or fault; empty for a complete answer.
         first_token_ms: From the planned arrival; None without a token.
-        gaps_us: Times between two tokens, in microseconds.
+        gaps_us: Times between consecutive tokens, in microseconds.
         tokens: Tokens received in order.
-        ended_s: Seconds after the run's start.
+        ended_s: When it ended, in seconds after the start of the run.
     """
 
     class_name: str
--- a/pollenfork/load/plan.py
+++ b/pollenfork/load/plan.py
@@ -1,4 +1,4 @@
-"""Arrivals of a scenario: the same for the same seed."""
+"""Generates the arrivals of a scenario, reproducibly from its seed."""
 
 from collections.abc import Iterator
 import math
@@ -17,7 +17,7 @@
 
     Attributes:
         at_s: Seconds after the start.
-        label: Names the request at the engines; unique in the run.
+        label: Identifies the request at the engines; unique in a run.
         body: JSON of a chat completion.
     """
 
@@ -28,61 +28,61 @@
 
 
 def make_plan(scenario: scenarios.Scenario) -> tuple[Arrival, ...]:
-    """Returns all arrivals of a scenario in the order of time."""
+    """Returns all arrivals of a scenario, ordered by time."""
     arrivals: list[Arrival] = []
     start_s = 0.0
     for i, phase in enumerate(scenario.phases):
         for name, rate in sorted(phase.rates.items()):
-            draw = random.Random(f"{scenario.seed}/{i}/{name}")
-            kind = scenario.classes[name]
-            for j, at_s in enumerate(_draw_times(draw, rate, phase.duration_s)):
+            rng = random.Random(f"{scenario.seed}/{i}/{name}")
+            load_class = scenario.classes[name]
+            for j, at_s in enumerate(_draw_times(rng, rate, phase.duration_s)):
                 label = f"{scenario.seed}-{i}-{name}-{j}"
-                body = _make_body(draw, kind, label)
+                body = _make_body(rng, load_class, label)
                 arrivals.append(Arrival(start_s + at_s, name, label, body))
         start_s += phase.duration_s
     return tuple(sorted(arrivals, key=lambda a: (a.at_s, a.label)))
 
 
 def _draw_times(
-    draw: random.Random, rate: float, duration_s: float
+    rng: random.Random, rate: float, duration_s: float
 ) -> Iterator[float]:
     if rate <= 0:
         return
-    at_s = draw.expovariate(rate)
+    at_s = rng.expovariate(rate)
     while at_s < duration_s:
         yield at_s
-        at_s += draw.expovariate(rate)
+        at_s += rng.expovariate(rate)
 
 
-def _draw_length(draw: random.Random, length: scenarios.Length) -> int:
-    drawn = draw.lognormvariate(math.log(length.median), length.sigma)
+def _draw_length(rng: random.Random, length: scenarios.Length) -> int:
+    drawn = rng.lognormvariate(math.log(length.median), length.sigma)
     return max(1, min(round(drawn), length.longest))
 
 
 def _make_body(
-    draw: random.Random, kind: scenarios.LoadClass, label: str
+    rng: random.Random, load_class: scenarios.LoadClass, label: str
 ) -> bytes:
-    head = draw.randrange(kind.prefixes)
-    tokens = _draw_length(draw, kind.prompt)
-    shared = _make_text(random.Random(head), kind.prefix_tokens)
-    own = _make_text(draw, max(0, tokens - kind.prefix_tokens))
-    answer_tokens = str(_draw_length(draw, kind.answer))
+    prefix_seed = rng.randrange(load_class.prefixes)
+    tokens = _draw_length(rng, load_class.prompt)
+    prefix = _make_text(random.Random(prefix_seed), load_class.prefix_tokens)
+    rest = _make_text(rng, max(0, tokens - load_class.prefix_tokens))
+    answer_tokens = str(_draw_length(rng, load_class.answer))
     body = {
-        "model": kind.model,
-        "messages": [{"role": "user", "content": f"{shared} {own} {label}"}],
-        "stream": kind.stream,
+        "model": load_class.model,
+        "messages": [{"role": "user", "content": f"{prefix} {rest} {label}"}],
+        "stream": load_class.stream,
         "metadata": {"label": label, "answer_tokens": answer_tokens},
     }
-    if kind.max_tokens is not None:
-        body["max_tokens"] = kind.max_tokens
+    if load_class.max_tokens is not None:
+        body["max_tokens"] = load_class.max_tokens
     return msgspec.json.encode(body)
 
 
-def _make_text(draw: random.Random, tokens: int) -> str:
+def _make_text(rng: random.Random, tokens: int) -> str:
     size = tokens * _BYTES_PER_TOKEN
     words: list[str] = []
     length = 0
     while length < size:
-        words.append(draw.choice(_WORDS))
+        words.append(rng.choice(_WORDS))
         length += len(words[-1]) + 1
     return " ".join(words)[:size]
--- a/pollenfork/load/report.py
+++ b/pollenfork/load/report.py
@@ -10,17 +10,17 @@
 from pollenfork.load import outcome as outcomes
 from pollenfork.load import scenario as scenarios
 
-_LONGEST_US = 3_600_000_000
-_DIGITS = 3
+_MAX_US = 3_600_000_000
+_SIGNIFICANT_DIGITS = 3
 _US_PER_MS = 1000
 
 
-class Work(msgspec.Struct, frozen=True, kw_only=True):
-    """What the engines did in the run.
+class EngineWork(msgspec.Struct, frozen=True, kw_only=True):
+    """What the engines generated during the run.
 
     Attributes:
-        generated: Tokens.
-        runs: How often each request ran, by label.
+        generated: Number of tokens.
+        runs: Number of runs of each request, by label.
     """
 
     generated: int
@@ -28,13 +28,13 @@
 
 
 class ClassReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of one class; times in milliseconds.
+    """The results of one class; times in milliseconds.
 
     Attributes:
-        sent: All arrivals, refused and unsent ones too.
-        attainment: Part of `sent` answered whole and within its targets.
-        goodput: Such answers per second of the run.
-        reasons: Requests without a whole answer, by `end:reason`.
+        sent: All arrivals, including refused and unsent ones.
+        attainment: Share of `sent` answered completely and within targets.
+        goodput: Answers within targets, per second of the run.
+        reasons: Requests without a complete answer, by `end:reason`.
     """
 
     sent: int
@@ -52,13 +52,13 @@
 
 
 class Waste(msgspec.Struct, frozen=True, kw_only=True):
-    """Work that no caller got.
+    """Generated tokens that reached no client.
 
     Attributes:
-        wasted: Tokens generated, minus those in whole answers.
-        share: The part of the tokens generated.
+        wasted: Tokens generated, minus those in complete answers.
+        share: `wasted` as a share of the tokens generated.
         repeats: Runs of a request beyond its first.
-        run_though_refused: Requests told `not_run` that ran.
+        run_though_refused: Requests refused as `not_run` that did run.
     """
 
     generated: int
@@ -70,10 +70,11 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """The report of one run.
+    """The results of one run.
 
     Attributes:
-        duration_s: From the first arrival's phase to the last answer's end.
+        duration_s: From the start of the first phase to the end of the last
+            answer, or of the last phase if that is later.
         broken: Answers cut off, with gaps or repeats, or with wrong text.
     """
 
@@ -86,81 +87,83 @@
 
 def make_report(
     scenario: scenarios.Scenario,
-    ended: list[outcomes.Outcome],
-    work: Work | None,
+    finished: list[outcomes.Outcome],
+    work: EngineWork | None,
 ) -> Report:
-    """Returns the report of what became of all requests."""
+    """Summarizes the outcomes of all requests."""
     planned_s = sum(phase.duration_s for phase in scenario.phases)
-    duration_s = max([planned_s, *(outcome.ended_s for outcome in ended)])
+    duration_s = max([planned_s, *(outcome.ended_s for outcome in finished)])
     by_class: dict[str, list[outcomes.Outcome]] = {
         name: [] for name in scenario.classes
     }
-    for outcome in ended:
+    for outcome in finished:
         by_class[outcome.class_name].append(outcome)
     classes = {
-        name: _report_class(scenario.classes[name], outcome, duration_s)
-        for name, outcome in by_class.items()
-        if outcome
+        name: _report_class(scenario.classes[name], of_class, duration_s)
+        for name, of_class in by_class.items()
+        if of_class
     }
-    bad = (outcomes.End.BROKEN, outcomes.End.WRONG)
+    faulty = (outcomes.End.BROKEN, outcomes.End.WRONG)
     return Report(
         duration_s=duration_s,
         goodput=sum(figures.goodput for figures in classes.values()),
-        broken=sum(outcome.end in bad for outcome in ended),
+        broken=sum(outcome.end in faulty for outcome in finished),
         classes=classes,
-        waste=_report_waste(ended, work) if work else None,
+        waste=_report_waste(finished, work) if work else None,
     )
 
 
 def _report_class(
-    kind: scenarios.LoadClass,
-    ended: list[outcomes.Outcome],
+    load_class: scenarios.LoadClass,
+    finished: list[outcomes.Outcome],
     duration_s: float,
 ) -> ClassReport:
-    whole = [o for o in ended if o.end is outcomes.End.WHOLE]
-    attained = sum(_is_attained(kind, outcome) for outcome in whole)
+    whole = [o for o in finished if o.end is outcomes.End.WHOLE]
+    attained = sum(_is_attained(load_class, outcome) for outcome in whole)
     first = _make_histogram(
         round(outcome.first_token_ms * _US_PER_MS)
-        for outcome in ended
+        for outcome in finished
         if outcome.first_token_ms is not None
     )
-    gaps = _make_histogram(gap for o in ended for gap in o.gaps_us)
+    gaps = _make_histogram(gap for o in finished for gap in o.gaps_us)
     reasons = collections.Counter(
         f"{o.end.value}:{o.reason}"
-        for o in ended
+        for o in finished
         if o.end is not outcomes.End.WHOLE
     )
     return ClassReport(
-        sent=len(ended),
+        sent=len(finished),
         whole=len(whole),
         attained=attained,
-        attainment=attained / len(ended),
+        attainment=attained / len(finished),
         goodput=attained / duration_s,
-        first_token_p50=_read_ms(first, 50),
-        first_token_p95=_read_ms(first, 95),
-        gap_p50=_read_ms(gaps, 50),
-        gap_p95=_read_ms(gaps, 95),
-        gap_p99=_read_ms(gaps, 99),
-        tokens=sum(outcome.tokens for outcome in ended),
+        first_token_p50=_get_percentile_ms(first, 50),
+        first_token_p95=_get_percentile_ms(first, 95),
+        gap_p50=_get_percentile_ms(gaps, 50),
+        gap_p95=_get_percentile_ms(gaps, 95),
+        gap_p99=_get_percentile_ms(gaps, 99),
+        tokens=sum(outcome.tokens for outcome in finished),
         reasons=dict(sorted(reasons.items())),
     )
 
 
-def _is_attained(kind: scenarios.LoadClass, outcome: outcomes.Outcome) -> bool:
+def _is_attained(
+    load_class: scenarios.LoadClass, outcome: outcomes.Outcome
+) -> bool:
     if outcome.first_token_ms is None:
         return False
-    if outcome.first_token_ms > kind.target_first_token_ms:
+    if outcome.first_token_ms > load_class.target_first_token_ms:
         return False
     if not outcome.gaps_us:
         return True
     mean_gap_ms = statistics.fmean(outcome.gaps_us) / _US_PER_MS
-    return mean_gap_ms <= kind.target_gap_ms
+    return mean_gap_ms <= load_class.target_gap_ms
 
 
-def _report_waste(ended: list[outcomes.Outcome], work: Work) -> Waste:
-    received = sum(o.tokens for o in ended if o.end is outcomes.End.WHOLE)
+def _report_waste(finished: list[outcomes.Outcome], work: EngineWork) -> Waste:
+    received = sum(o.tokens for o in finished if o.end is outcomes.End.WHOLE)
     wasted = work.generated - received
-    refused = [o.label for o in ended if o.end is outcomes.End.REFUSED]
+    refused = [o.label for o in finished if o.end is outcomes.End.REFUSED]
     return Waste(
         generated=work.generated,
         received=received,
@@ -172,12 +175,14 @@
 
 
 def _make_histogram(values_us: Iterable[int]) -> histogram.HdrHistogram:
-    made = histogram.HdrHistogram(1, _LONGEST_US, _DIGITS)
+    values = histogram.HdrHistogram(1, _MAX_US, _SIGNIFICANT_DIGITS)
     for value in values_us:
-        made.record_value(max(1, value))
-    return made
+        values.record_value(max(1, value))
+    return values
 
 
-def _read_ms(made: histogram.HdrHistogram, percentile: float) -> float:
-    value_us: int = made.get_value_at_percentile(percentile)
+def _get_percentile_ms(
+    values: histogram.HdrHistogram, percentile: float
+) -> float:
+    value_us: int = values.get_value_at_percentile(percentile)
     return value_us / _US_PER_MS
--- a/pollenfork/load/runner.py
+++ b/pollenfork/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario against addresses and counts what the engines ran."""
+"""Runs a scenario and compares its answers with the engines' work."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,8 +17,8 @@
 from pollenfork.load import scenario as scenarios
 
 _PROGRESS_PERIOD_S = 1.0
-_SETTLE_PERIOD_S = 0.05
-_SETTLE_LIMIT_S = 5.0
+_IDLE_POLL_S = 0.05
+_IDLE_TIMEOUT_S = 5.0
 
 Progress = Callable[[int, int], None]
 
@@ -44,15 +44,18 @@
 
     Args:
         scenario: What to send.
-        addresses: `host:port` of the entry instances, taken at random. It
-            may change while the scenario runs, as behind a balancer.
-        engines: `host:port` of the engine stand-ins, for wasted work.
-        clock: Times the answers; it must run by itself.
-        progress: Called every second with requests ended and planned.
+        addresses: `host:port` of the entry instances, chosen at random for
+            each request. The sequence may change during the run, like the
+            backends of a load balancer.
+        engines: `host:port` of the engine stand-ins whose token counts give
+            the wasted work; without any it isn't reported.
+        clock: Times the answers; must advance with real time.
+        progress: Called every second with the numbers of finished and
+            planned requests.
     """
     arrivals = plan.make_plan(scenario)
     before = [read_runs(engine) for engine in engines]
-    sender = _Sender(scenario, arrivals, addresses, clock)
+    sender = _RequestSender(scenario, arrivals, addresses, clock)
     ended = asyncio.run(sender.run(progress))
     _wait_until_idle(engines, clock)
     after = [read_runs(engine) for engine in engines]
@@ -62,18 +65,18 @@
 
 
 def read_runs(engine: str) -> _Runs:
-    """Returns an engine stand-in's counts."""
+    """Fetches the counts of runs and tokens from an engine stand-in."""
     response = urllib3.request("GET", f"http://{engine}/runs", timeout=10)
     return msgspec.json.decode(response.data, type=_Runs)
 
 
 def _wait_until_idle(engines: tuple[str, ...], clock: clocks.Clock) -> None:
-    """What was cancelled last may still be running at an engine."""
-    give_up_at = clock.monotonic() + _SETTLE_LIMIT_S
-    while clock.monotonic() < give_up_at:
+    """Waits as engines may still run requests that were just cancelled."""
+    deadline = clock.monotonic() + _IDLE_TIMEOUT_S
+    while clock.monotonic() < deadline:
         if all(_is_idle(engine) for engine in engines):
             return
-        time.sleep(_SETTLE_PERIOD_S)
+        time.sleep(_IDLE_POLL_S)
 
 
 def _is_idle(engine: str) -> bool:
@@ -82,7 +85,7 @@
     return report.running + report.waiting == 0
 
 
-class _Sender:
+class _RequestSender:
     def __init__(
         self,
         scenario: scenarios.Scenario,
@@ -100,8 +103,8 @@
         self._ended: list[outcomes.Outcome] = []
 
     async def run(self, progress: Progress) -> list[outcomes.Outcome]:
-        """Sends every arrival at its time; returns all outcomes."""
-        watching = asyncio.create_task(self._watch(progress))
+        """Sends every request at its arrival time; returns all outcomes."""
+        progress_task = asyncio.create_task(self._report_progress(progress))
         started_s = self._clock.monotonic()
         for arrival in self._arrivals:
             delay_s = started_s + arrival.at_s - self._clock.monotonic()
@@ -110,7 +113,7 @@
             self._start(arrival, started_s)
         while self._open:
             await asyncio.wait(self._open)
-        watching.cancel()
+        progress_task.cancel()
         return self._ended
 
     def _start(self, arrival: plan.Arrival, started_s: float) -> None:
@@ -134,7 +137,7 @@
         ended = await self._client.send(arrival, address, started_s)
         self._ended.append(ended)
 
-    async def _watch(self, progress: Progress) -> None:
+    async def _report_progress(self, progress: Progress) -> None:
         while True:
             progress(len(self._ended), len(self._arrivals))
             await asyncio.sleep(_PROGRESS_PERIOD_S)
@@ -142,16 +145,16 @@
 
 def _count_work(
     before: list[_Runs], after: list[_Runs], labels: frozenset[str]
-) -> report.Work:
-    """Sums what all engines did between two counts."""
+) -> report.EngineWork:
+    """Sums the work of all engines between two counts."""
     generated = sum(
-        late.total.tokens - early.total.tokens
-        for early, late in zip(before, after, strict=True)
+        last.total.tokens - first.total.tokens
+        for first, last in zip(before, after, strict=True)
     )
     runs: dict[str, int] = {}
-    for early, late in zip(before, after, strict=True):
-        for label in labels & late.labels.keys():
-            earlier = early.labels.get(label, _Count()).count
-            ran = late.labels[label].count - earlier
+    for first, last in zip(before, after, strict=True):
+        for label in labels & last.labels.keys():
+            initial = first.labels.get(label, _Count()).count
+            ran = last.labels[label].count - initial
             runs[label] = runs.get(label, 0) + ran
-    return report.Work(generated=generated, runs=runs)
+    return report.EngineWork(generated=generated, runs=runs)
--- a/pollenfork/load/scenario.py
+++ b/pollenfork/load/scenario.py
@@ -1,4 +1,4 @@
-"""A load scenario, as its JSON file has it."""
+"""Schema of a load scenario's JSON file."""
 
 from typing import Annotated
 
@@ -15,9 +15,9 @@
     """A length in tokens, drawn from a log-normal distribution.
 
     Attributes:
-        median: Half of the draws are shorter.
-        sigma: Standard deviation of the logarithm; 0 is a constant.
-        longest: Bound on the draws.
+        median: Median length.
+        sigma: Standard deviation of the logarithm; 0 for a constant length.
+        longest: Upper bound of a drawn length.
     """
 
     median: Positive
@@ -28,19 +28,21 @@
 class LoadClass(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Requests of one kind.
+    """Requests that share a key, a length distribution and targets.
 
     Attributes:
-        key: The bearer key.
+        key: API key, sent as bearer token.
         service_class: Sent as `X-Service-Class`; empty sends none.
         prompt: Length of the prompt.
-        answer: Length of the answer, told to the engine stand-in.
-        max_tokens: The caller's own bound; None sends none.
-        prefixes: How many different prompt heads the requests share.
-        prefix_tokens: Length of such a head, a part of the prompt.
-        target_first_token_ms: From the arrival to the first token; for a
-            plain answer, to its end.
-        target_gap_ms: Mean time between two tokens of one answer.
+        answer: Length of the answer, sent to the engine stand-in.
+        max_tokens: Sent as `max_tokens`; None sends none.
+        prefixes: Number of different prompt prefixes that requests share.
+        prefix_tokens: Length of such a prefix, which counts as a part of
+            the prompt.
+        target_first_token_ms: Target for the time from the arrival to the
+            first token; for an answer that isn't streamed, to its end.
+        target_gap_ms: Target for the mean time between two tokens of an
+            answer.
     """
 
     key: str
@@ -59,7 +61,7 @@
 class Phase(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A time of constant arrival rates.
+    """A period of constant arrival rates.
 
     Attributes:
         duration_s: How long it lasts.
@@ -76,10 +78,12 @@
     """Open-loop load: arrivals don't wait for answers.
 
     Attributes:
-        seed: Of arrivals and lengths.
-        timeout_s: A request without its last byte by then is broken off.
-        max_open: Requests open at once; those beyond are counted, not sent.
-        check_text: Compare each answer with what an engine stand-in gives.
+        seed: Seed of the random arrivals and lengths.
+        timeout_s: A request that isn't complete by then is aborted.
+        max_open: Maximum of concurrent requests; those beyond it are counted
+            as not sent.
+        check_text: Whether to compare each answer with the text that an
+            engine stand-in generates.
     """
 
     classes: dict[str, LoadClass]
@@ -90,7 +94,7 @@
     check_text: bool = True
 
     def __post_init__(self) -> None:
-        """Checks that every rate names a class."""
+        """Checks that every rate refers to a known class."""
         for i, phase in enumerate(self.phases):
             for name in phase.rates:
                 if name not in self.classes:
--- a/pollenfork/load/table.py
+++ b/pollenfork/load/table.py
@@ -1,4 +1,4 @@
-"""The report of a load run as a table: rich on a terminal, else plain."""
+"""Renders the report of a load run: rich on a terminal, else plain."""
 
 from collections.abc import Iterator
 from typing import TextIO
@@ -15,24 +15,24 @@
 def write_report(
     report: reports.Report, out: TextIO, is_terminal: bool
 ) -> None:
-    """Writes the table and the lines below it; times are milliseconds."""
+    """Writes the table and a summary; times are in milliseconds."""
     rows = [_make_row(name, c) for name, c in sorted(report.classes.items())]
     tables.write_table(_COLUMNS, rows, out, is_terminal)
     for line in _make_lines(report):
         out.write(line + "\n")
 
 
-def _make_row(name: str, figures: reports.ClassReport) -> tuple[str, ...]:
-    reasons = ", ".join(f"{k} {v}" for k, v in figures.reasons.items())
+def _make_row(name: str, results: reports.ClassReport) -> tuple[str, ...]:
+    reasons = ", ".join(f"{k} {v}" for k, v in results.reasons.items())
     return (
         name,
-        str(figures.sent),
-        str(figures.whole),
-        f"{figures.attainment:.1%}",
-        f"{figures.goodput:.2f}",
-        f"{figures.first_token_p50:.0f}",
-        f"{figures.first_token_p95:.0f}",
-        f"{figures.gap_p95:.1f}",
+        str(results.sent),
+        str(results.whole),
+        f"{results.attainment:.1%}",
+        f"{results.goodput:.2f}",
+        f"{results.first_token_p50:.0f}",
+        f"{results.first_token_p95:.0f}",
+        f"{results.gap_p95:.1f}",
         reasons or "-",
     )
 
--- a/pollenfork/load/tests/test_plan.py
+++ b/pollenfork/load/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Scenarios and the arrivals made of them."""
+"""Tests scenarios and the arrivals generated from them."""
 
 import statistics
 
@@ -8,7 +8,7 @@
 from pollenfork.load import plan
 from pollenfork.load import scenario as scenarios
 
-BURST = {
+SCENARIO = {
     "classes": {
         "morning": {"key": "k", "answer": {"median": 40, "sigma": 0.5}},
         "logs": {"key": "k", "prefixes": 2, "prefix_tokens": 300,
@@ -21,17 +21,19 @@
 }  # fmt: skip
 
 
-def read(**changes) -> scenarios.Scenario:
-    return msgspec.convert({**BURST, **changes}, type=scenarios.Scenario)
+def make_scenario(**changes) -> scenarios.Scenario:
+    return msgspec.convert({**SCENARIO, **changes}, type=scenarios.Scenario)
 
 
-def test_the_same_seed_gives_the_same_arrivals():
-    assert plan.make_plan(read()) == plan.make_plan(read())
-    assert plan.make_plan(read(seed=2)) != plan.make_plan(read())
+def test_same_seed_gives_same_arrivals():
+    assert plan.make_plan(make_scenario()) == plan.make_plan(make_scenario())
+    assert plan.make_plan(make_scenario(seed=2)) != plan.make_plan(
+        make_scenario()
+    )
 
 
-def test_arrivals_follow_each_phase_at_its_rate():
-    arrivals = plan.make_plan(read())
+def test_arrivals_follow_rate_of_each_phase():
+    arrivals = plan.make_plan(make_scenario())
     times = [a.at_s for a in arrivals]
     assert times == sorted(times)
     quiet = [a for a in arrivals if a.at_s < 10]
@@ -43,10 +45,10 @@
     assert len({a.label for a in arrivals}) == len(arrivals)
 
 
-def test_answer_lengths_scatter_about_the_median():
+def test_answer_lengths_are_distributed_around_median():
     bodies = [
         msgspec.json.decode(a.body)
-        for a in plan.make_plan(read())
+        for a in plan.make_plan(make_scenario())
         if a.class_name == "morning"
     ]
     lengths = [int(b["metadata"]["answer_tokens"]) for b in bodies]
@@ -54,13 +56,13 @@
     assert max(lengths) > 80
 
 
-def test_prompts_of_a_class_share_their_heads():
-    heads = {
+def test_prompts_of_class_share_prefixes():
+    prefixes = {
         msgspec.json.decode(a.body)["messages"][0]["content"][:1200]
-        for a in plan.make_plan(read())
+        for a in plan.make_plan(make_scenario())
         if a.class_name == "logs"
     }
-    assert len(heads) == 2
+    assert len(prefixes) == 2
 
 
 @pytest.mark.parametrize(
@@ -72,7 +74,7 @@
         ({"classes": {"a": {}}}, "key"),
     ],
 )
-def test_a_bad_scenario_is_refused_with_its_place(changes, path):
+def test_invalid_scenario_is_rejected_with_path(changes, path):
     with pytest.raises(msgspec.ValidationError) as raised:
-        read(**changes)
+        make_scenario(**changes)
     assert path in str(raised.value)
--- a/pollenfork/load/tests/test_runner.py
+++ b/pollenfork/load/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Whole load runs against an engine stand-in, fault by fault."""
+"""Runs scenarios against an engine stand-in with various faults."""
 
 import io
 
@@ -36,14 +36,14 @@
         standin.stop()
 
 
-def test_without_faults_every_answer_is_whole_and_nothing_is_wasted():
+def test_run_without_faults_is_complete_and_wastes_nothing():
     report = run()
-    for figures in report.classes.values():
-        assert figures.sent == figures.whole > 0
-        assert figures.reasons == {}
-        assert 0 < figures.first_token_p50 <= figures.first_token_p95
+    for results in report.classes.values():
+        assert results.sent == results.whole > 0
+        assert results.reasons == {}
+        assert 0 < results.first_token_p50 <= results.first_token_p95
     assert report.classes["stream"].gap_p95 > 0
-    sent = sum(figures.sent for figures in report.classes.values())
+    sent = sum(results.sent for results in report.classes.values())
     assert report.waste == reports.Waste(
         generated=5 * sent,
         received=5 * sent,
@@ -54,17 +54,17 @@
     )
 
 
-def test_refusals_count_by_reason_and_ran_nowhere():
+def test_refusals_are_counted_by_reason_and_not_run():
     report = run(configs.Faults(refuse=True))
-    figures = report.classes["stream"]
-    assert figures.reasons == {"refused:refusing": figures.sent}
-    assert figures.attainment == 0
+    results = report.classes["stream"]
+    assert results.reasons == {"refused:refusing": results.sent}
+    assert results.attainment == 0
     assert report.waste.generated == 0
     assert report.waste.run_though_refused == 0
 
 
 @pytest.mark.parametrize("when", list(configs.CrashPoint))
-def test_a_broken_answer_counts_as_waste(when):
+def test_broken_answer_counts_as_waste(when):
     crash = configs.Crash(when=when, after_tokens=2, resumable=False, times=1)
     report = run(configs.Faults(crash=crash))
     missing = sum(f.sent - f.whole for f in report.classes.values())
@@ -73,7 +73,7 @@
     assert report.waste.wasted == expected
 
 
-def test_late_answers_are_whole_but_not_attained():
+def test_late_answers_are_complete_but_not_attained():
     strict = msgspec.structs.replace(
         SCENARIO,
         classes={
@@ -81,12 +81,12 @@
             for name, kind in SCENARIO.classes.items()
         },
     )
-    figures = run(scenario=strict).classes["stream"]
-    assert figures.whole == figures.sent
-    assert figures.attained == 0
+    results = run(scenario=strict).classes["stream"]
+    assert results.whole == results.sent
+    assert results.attained == 0
 
 
-def test_requests_beyond_the_tool_s_own_limit_are_told():
+def test_requests_beyond_max_open_are_counted_as_not_sent():
     one = msgspec.structs.replace(SCENARIO, max_open=1)
     report = run(configs.Faults(slowdown=20), scenario=one)
     reasons = report.classes["stream"].reasons
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("is_terminal", [True, False])
-def test_the_table_shows_each_class_and_the_waste(is_terminal):
+def test_table_shows_each_class_and_waste(is_terminal):
     out = io.StringIO()
     table.write_report(run(configs.Faults(refuse=True)), out, is_terminal)
     shown = out.getvalue()
