--- a/pollenfork/cli/tests/test_operating.py
+++ b/pollenfork/cli/tests/test_operating.py
@@ -20,8 +20,8 @@
     """An operator interface that listens; `lost` calls get no answer."""
 
     def __init__(self) -> None:
-        self.rig = support.Rig()
-        self.rig.site.seed()
+        self.harness = support.Harness()
+        self.harness.site.seed()
         self.lost = 0
         self._server = waitress.server.create_server(
             self.answer, listen="127.0.0.1:0", threads=2
@@ -32,7 +32,7 @@
         self._thread.start()
 
     def answer(self, environ, start_response):
-        chunks = self.rig.app(environ, start_response)
+        chunks = self.harness.app(environ, start_response)
         if self.lost:
             self.lost -= 1
             raise ConnectionError("the answer is lost after the effect")
--- a/pollenfork/operator/app.py
+++ b/pollenfork/operator/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application towards operators, under `/operator/`."""
+"""The WSGI application for operators, under `/operator/`."""
 
 from collections.abc import Callable, Iterable
 import http
@@ -23,18 +23,18 @@
 _LOG = logging.getLogger(__name__)
 
 _PREFIX = "/operator/"
-_DRAIN = "drain"
+_DRAIN_ACTION = "drain"
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """An operator: the digest of the token and what it is bound to."""
+    """An authenticated operator: the token's digest and its rights."""
 
     digest: str
     rights: settings_messages.Rights
 
 
 class Operator:
-    """Answers operators; the caller mounts it at `/operator/`."""
+    """WSGI application to be mounted at `/operator/`."""
 
     def __init__(
         self,
@@ -45,15 +45,15 @@
         counters: metrics.Metrics,
         make_write_id: Callable[[], ids.WriteId],
     ) -> None:
-        """Wires the interface.
+        """Creates the application.
 
         Args:
-            instance: Who answers.
-            settings: Reads and writes of the settings.
-            instances: The entry instances.
-            endpoints: The endpoints and orders to them.
-            counters: Where refusals are counted.
-            make_write_id: Returns an id for a write that came without one.
+            instance: The instance that answers.
+            settings: Reads and writes the settings.
+            instances: Lists the entry instances.
+            endpoints: Lists and drains the endpoints.
+            counters: Counts refusals.
+            make_write_id: Generates an id for a write sent without one.
         """
         self._instance = instance
         self._settings = settings
@@ -65,11 +65,11 @@
     def __call__(
         self, environ: request.Environ, start_response: replies.StartResponse
     ) -> Iterable[bytes]:
-        """Serves one request, as PEP 3333 asks."""
-        served = self._serve(environ)
-        if isinstance(served, result.Ok):
-            return replies.send(start_response, served.ok_value)
-        refusal = served.err_value
+        """Serves one request, as specified by PEP 3333."""
+        outcome = self._serve(environ)
+        if isinstance(outcome, result.Ok):
+            return replies.send(start_response, outcome.ok_value)
+        refusal = outcome.err_value
         self._metrics.count(
             "pollenfork_operator_refusals_total", code=refusal.code.value
         )
@@ -79,7 +79,7 @@
             ascii(environ["PATH_INFO"]),
             refusal.code.value,
         )
-        return replies.send(start_response, replies.write_refusal(refusal))
+        return replies.send(start_response, replies.make_refusal(refusal))
 
     def _serve(self, environ: request.Environ) -> tree.Outcome:
         token = request.read_token(environ)
@@ -87,32 +87,34 @@
             return token
         rights = self._settings.find_rights(token.ok_value)
         if isinstance(rights, result.Err):
-            return result.Err(errors.refuse(rights.err_value))
+            return result.Err(errors.make_settings_refusal(rights.err_value))
         return self._route(environ, Caller(token.ok_value, rights.ok_value))
 
     def _route(self, environ: request.Environ, caller: Caller) -> tree.Outcome:
         path = environ["PATH_INFO"].removeprefix(_PREFIX)
-        part, _, rest = path.partition("/")
-        steps = [step for step in rest.split("/") if step]
-        match part:
-            case "settings":  # The rest is a path of the tree.
+        resource, _, rest = path.partition("/")
+        segments = [segment for segment in rest.split("/") if segment]
+        match resource:
+            case "settings":  # The rest is a path in the settings tree.
                 return self._serve_settings(environ, caller, rest)
             case "settings-history":
-                return _only(
+                return _require_method(
                     "GET",
                     environ,
                     lambda: self._tree.history(caller.digest, rest, environ),
                 )
-            case "status" if not steps:
-                return _only("GET", environ, self._report_status)
-            case "endpoints" if not steps:
-                return _only("GET", environ, self._list_endpoints)
-            case "endpoints" if len(steps) == 2 and steps[1] == _DRAIN:
-                endpoint = ids.EndpointId(steps[0])
-                return _only(
+            case "status" if not segments:
+                return _require_method("GET", environ, self._report_status)
+            case "endpoints" if not segments:
+                return _require_method("GET", environ, self._list_endpoints)
+            case "endpoints" if (
+                len(segments) == 2 and segments[1] == _DRAIN_ACTION
+            ):
+                endpoint = ids.EndpointId(segments[0])
+                return _require_method(
                     "POST", environ, lambda: self._drain(caller, endpoint)
                 )
-        return result.Err(_refuse_path("see docs/operators/settings.md"))
+        return result.Err(_make_path_refusal("see docs/operators/settings.md"))
 
     def _serve_settings(
         self, environ: request.Environ, caller: Caller, path: str
@@ -122,7 +124,7 @@
                 return self._tree.get(caller.digest, path)
             case "PUT":
                 return self._tree.put(caller.digest, path, environ)
-        return result.Err(_refuse_method("GET, PUT"))
+        return result.Err(_make_method_refusal("GET, PUT"))
 
     def _report_status(self) -> tree.Outcome:
         instances = self._instances.list_instances()
@@ -136,19 +138,21 @@
         return result.Ok(replies.Reply(msgspec.json.encode(status)))
 
     def _list_endpoints(self) -> tree.Outcome:
-        in_force = self._settings.get_tree()
-        if in_force is None:
-            return result.Err(errors.refuse(settings_errors.NotReady()))
-        seen = self._endpoints.list_endpoints()
-        live = {endpoint.endpoint: endpoint for endpoint in seen}
+        current = self._settings.get_tree()
+        if current is None:
+            return result.Err(
+                errors.make_settings_refusal(settings_errors.NotReady())
+            )
+        known = self._endpoints.list_endpoints()
+        live = {endpoint.endpoint: endpoint for endpoint in known}
         listed = tuple(
             messages.EndpointEntry(
                 endpoint=name, settings=settings, live=live.get(name)
             )
-            for name, settings in in_force.root.endpoints.items()
+            for name, settings in current.root.endpoints.items()
         )
         reply = messages.EndpointsReply(
-            revision=in_force.revision, endpoints=listed
+            revision=current.revision, endpoints=listed
         )
         return result.Ok(replies.Reply(msgspec.json.encode(reply)))
 
@@ -156,27 +160,27 @@
         if not caller.rights.everything:
             detail = "only the root's tokens may drain an endpoint"
             failure = settings_errors.Forbidden(detail=detail)
-            return result.Err(errors.refuse(failure))
-        in_force = self._settings.get_tree()
-        if in_force is None or endpoint not in in_force.root.endpoints:
-            return result.Err(_refuse_path(f"no endpoint {endpoint}"))
-        drained = self._endpoints.drain(endpoint)
-        if isinstance(drained, result.Err):
-            return result.Err(_refuse_drain(drained.err_value))
+            return result.Err(errors.make_settings_refusal(failure))
+        current = self._settings.get_tree()
+        if current is None or endpoint not in current.root.endpoints:
+            return result.Err(_make_path_refusal(f"no endpoint {endpoint}"))
+        requested = self._endpoints.drain(endpoint)
+        if isinstance(requested, result.Err):
+            return result.Err(_make_drain_refusal(requested.err_value))
         _LOG.info("event=drain_ordered endpoint=%s", endpoint)
         body = msgspec.json.encode(messages.DrainReply(endpoint=endpoint))
         return result.Ok(replies.Reply(body, status=http.HTTPStatus.ACCEPTED))
 
 
-def _only(
+def _require_method(
     method: str, environ: request.Environ, serve: Callable[[], tree.Outcome]
 ) -> tree.Outcome:
     if environ["REQUEST_METHOD"] == method:
         return serve()
-    return result.Err(_refuse_method(method))
+    return result.Err(_make_method_refusal(method))
 
 
-def _refuse_method(allow: str) -> errors.Refusal:
+def _make_method_refusal(allow: str) -> errors.Refusal:
     return errors.Refusal(
         status=http.HTTPStatus.METHOD_NOT_ALLOWED,
         code=errors.Code.METHOD_NOT_ALLOWED,
@@ -185,7 +189,7 @@
     )
 
 
-def _refuse_path(detail: str) -> errors.Refusal:
+def _make_path_refusal(detail: str) -> errors.Refusal:
     return errors.Refusal(
         status=http.HTTPStatus.NOT_FOUND,
         code=errors.Code.UNKNOWN_PATH,
@@ -193,7 +197,7 @@
     )
 
 
-def _refuse_drain(failure: failures.Failure) -> errors.Refusal:
+def _make_drain_refusal(failure: failures.Failure) -> errors.Refusal:
     return errors.Refusal(
         status=http.HTTPStatus.SERVICE_UNAVAILABLE,
         code=errors.Code.UNAVAILABLE,
--- a/pollenfork/operator/edges.py
+++ b/pollenfork/operator/edges.py
@@ -1,4 +1,4 @@
-"""What the operator interface needs of the rest of the program."""
+"""Interfaces that the operator interface requires."""
 
 from typing import Protocol
 
@@ -15,11 +15,11 @@
     """One entry instance.
 
     Attributes:
-        state: What the answering instance believes of it.
+        state: Its membership state, as seen by the answering instance.
         revision: The settings revision in force there; 0 for none.
-        age_s: Seconds since that revision was last known to be the newest,
-            where the instance says so.
-        heard_s_ago: Seconds since its last sign of life.
+        age_s: Seconds since that revision was last known to be the newest;
+            None where the instance doesn't report it.
+        heard_s_ago: Seconds since it was last heard from.
     """
 
     instance: ids.InstanceId
@@ -31,13 +31,13 @@
 
 
 class LiveEndpoint(msgspec.Struct, frozen=True, kw_only=True):
-    """What this instance sees of one endpoint now.
+    """The state of one endpoint, as this instance sees it.
 
     Attributes:
-        in_flight: Attempts that this instance has there.
-        running: Requests in its batch, by its own report, which lags.
+        in_flight: Attempts of this instance that run at the endpoint.
+        running: Requests in its batch, by its last load report, which lags.
         waiting: Requests in its queue, by the same report.
-        report_age_s: How old that report is; None before the first.
+        report_age_s: Age of that report; None before the first.
     """
 
     endpoint: ids.EndpointId
@@ -49,22 +49,22 @@
 
 
 class Instances(Protocol):
-    """The entry instances, this one among them."""
+    """Lists the entry instances, including this one."""
 
     def list_instances(self) -> tuple[InstanceReport, ...]:
-        """Returns every instance known; it must not block."""
+        """Returns all known instances; must not block."""
 
 
 class Endpoints(Protocol):
-    """The endpoints as this instance sees them, and orders to them."""
+    """Lists the endpoints as this instance sees them, and drains them."""
 
     def list_endpoints(self) -> tuple[LiveEndpoint, ...]:
-        """Returns the endpoints known; it must not block."""
+        """Returns all known endpoints; must not block."""
 
     def drain(
         self, endpoint: ids.EndpointId
     ) -> result.Result[None, failures.Failure]:
-        """Asks that the endpoint take no new work.
+        """Requests that the endpoint take no new work.
 
-        Returns once the wish is kept where every instance finds it.
+        Returns once the request is stored where all instances read it.
         """
--- a/pollenfork/operator/errors.py
+++ b/pollenfork/operator/errors.py
@@ -1,4 +1,4 @@
-"""What an operator can be told instead of an answer, and how it reads."""
+"""Error codes and bodies of the operator interface."""
 
 import enum
 import http
@@ -11,7 +11,7 @@
 
 
 class Code(enum.Enum):
-    """The typed `code` of an error towards operators."""
+    """The `code` of an error sent to an operator."""
 
     BAD_JSON = "bad_json"
     BAD_REQUEST = "bad_request"
@@ -31,13 +31,13 @@
 
 
 class Refusal(failures.Failure, frozen=True, kw_only=True):
-    """A typed refusal towards the operator.
+    """The refusal of an operator's request.
 
     Attributes:
-        outcome: What is known of a write's effect.
-        current: The revision that a stale write met.
-        retry_after_s: When to come back, where that is known.
-        allow: The methods that the path has, where another was used.
+        outcome: Whether a write took effect, as far as is known.
+        current: The current revision, where a write expected another one.
+        retry_after_s: Delay before a retry; None sends no `Retry-After`.
+        allow: Methods that the path supports, if another was used.
     """
 
     status: http.HTTPStatus
@@ -50,11 +50,12 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The error as JSON.
+    """The JSON object that describes an error.
 
     Attributes:
-        violations: Every broken rule of a bad tree.
-        revision: The current revision, where a write met another one.
+        violations: All rules that an invalid tree violates.
+        revision: The current revision, where a write expected another
+            one.
     """
 
     code: str
@@ -69,8 +70,8 @@
     error: ErrorBody
 
 
-def write_body(refusal: Refusal) -> bytes:
-    """Returns the refusal as JSON."""
+def encode_body(refusal: Refusal) -> bytes:
+    """Encodes the refusal as JSON."""
     body = ErrorBody(
         code=refusal.code.value,
         message=refusal.detail,
@@ -80,8 +81,8 @@
     return msgspec.json.encode(ErrorEnvelope(body))
 
 
-def refuse(failure: settings_errors.SettingsFailure) -> Refusal:
-    """Returns what the operator is told of a failed read or write."""
+def make_settings_refusal(failure: settings_errors.SettingsFailure) -> Refusal:
+    """Maps a failed read or write of settings to a refusal."""
     status, code = _REFUSALS.get(type(failure), _UNAVAILABLE)
     refusal = Refusal(status=status, code=code, detail=failure.detail)
     match failure:
--- a/pollenfork/operator/messages.py
+++ b/pollenfork/operator/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the operator interface, shared with the command line."""
+"""Response bodies of the operator interface, also used by the CLI."""
 
 import msgspec
 
@@ -8,10 +8,11 @@
 
 
 class WriteReply(msgspec.Struct, frozen=True, kw_only=True):
-    """An accepted write.
+    """Reply to an accepted write.
 
     Attributes:
-        repeated: An earlier sending of the same write had been accepted.
+        repeated: Whether the write had already been accepted under the same
+            write id.
     """
 
     path: str
@@ -21,11 +22,11 @@
 
 
 class HistoryLine(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted write of a subtree.
+    """One accepted write to a subtree.
 
     Attributes:
         operator: First digits of the digest of the operator's token.
-        at: Unix seconds.
+        at: Time of the write, in Unix seconds.
     """
 
     revision: ids.Revision
@@ -35,18 +36,18 @@
 
 
 class HistoryReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The kept writes of a subtree, oldest first."""
+    """The stored writes to a subtree, oldest first."""
 
     path: str
     entries: tuple[HistoryLine, ...]
 
 
 class StatusReply(msgspec.Struct, frozen=True, kw_only=True):
-    """All entry instances as one of them sees them.
+    """All entry instances, as seen by one of them.
 
     Attributes:
-        instance: Who answers.
-        newest: The highest revision in force anywhere.
+        instance: The instance that answers.
+        newest: The highest revision in force at any instance.
     """
 
     instance: ids.InstanceId
@@ -55,10 +56,10 @@
 
 
 class EndpointEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One endpoint: its settings, and what the answering instance sees.
+    """The settings of an endpoint and its state at the answering instance.
 
     Attributes:
-        live: None where the instance hasn't met the endpoint yet.
+        live: None if the instance doesn't know the endpoint yet.
     """
 
     endpoint: ids.EndpointId
@@ -74,6 +75,6 @@
 
 
 class DrainReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The wish that an endpoint take no new work is kept."""
+    """Confirms that the request to drain an endpoint is stored."""
 
     endpoint: ids.EndpointId
--- a/pollenfork/operator/replies.py
+++ b/pollenfork/operator/replies.py
@@ -1,4 +1,4 @@
-"""Replies to operators, as WSGI sends them."""
+"""WSGI responses to operators."""
 
 from collections.abc import Callable
 import http
@@ -13,15 +13,15 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A reply, whole in memory; the body is JSON."""
+    """A response with a JSON body."""
 
     body: bytes
     headers: tuple[tuple[str, str], ...] = ()
     status: http.HTTPStatus = http.HTTPStatus.OK
 
 
-def write_refusal(refusal: errors.Refusal) -> Reply:
-    """Returns the reply that tells of a refusal."""
+def make_refusal(refusal: errors.Refusal) -> Reply:
+    """Returns the response to a refused request."""
     headers = [("X-Outcome", refusal.outcome.value)]
     if refusal.status is http.HTTPStatus.UNAUTHORIZED:
         headers.append(("WWW-Authenticate", 'Bearer realm="operator"'))
@@ -30,13 +30,13 @@
     if refusal.current is not None:
         headers.append(("ETag", f'"{refusal.current}"'))
     if refusal.retry_after_s is not None:
-        after = max(1, math.ceil(refusal.retry_after_s))
-        headers.append(("Retry-After", str(after)))
-    return Reply(errors.write_body(refusal), tuple(headers), refusal.status)
+        delay_s = max(1, math.ceil(refusal.retry_after_s))
+        headers.append(("Retry-After", str(delay_s)))
+    return Reply(errors.encode_body(refusal), tuple(headers), refusal.status)
 
 
 def send(start_response: StartResponse, reply: Reply) -> list[bytes]:
-    """Sends a reply with its length."""
+    """Starts the response and returns its body."""
     headers = [
         ("Content-Type", "application/json"),
         ("Content-Length", str(len(reply.body))),
--- a/pollenfork/operator/request.py
+++ b/pollenfork/operator/request.py
@@ -1,4 +1,4 @@
-"""Reads what an operator sent: token, precondition, write id, body."""
+"""Parses an operator's request: token, precondition, write id, body."""
 
 from collections.abc import Callable
 import http
@@ -14,7 +14,7 @@
 from pollenfork.settings import snapshot
 
 BODY_LIMIT = 4 * 1024 * 1024
-_TAG = re.compile(r'"([0-9]{1,18})"')
+_ENTITY_TAG = re.compile(r'"([0-9]{1,18})"')
 _NUMBER = re.compile(r"[0-9]{1,18}")
 _WRITE_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
@@ -22,7 +22,7 @@
 
 
 class Precondition(msgspec.Struct, frozen=True):
-    """The revision that a write expects; 0 where nothing may be there."""
+    """The revision that a write expects; 0 to create a new value."""
 
     expected: ids.Revision
 
@@ -41,8 +41,8 @@
     )
 
 
-def refuse_request(detail: str) -> errors.Refusal:
-    """Returns the refusal of a request that breaks the protocol."""
+def make_bad_request(detail: str) -> errors.Refusal:
+    """Returns the refusal of a malformed request."""
     return errors.Refusal(
         status=http.HTTPStatus.BAD_REQUEST,
         code=errors.Code.BAD_REQUEST,
@@ -53,19 +53,19 @@
 def read_precondition(
     environ: Environ,
 ) -> result.Result[Precondition, errors.Refusal]:
-    """Returns the revision that the operator saw.
+    """Returns the revision that the operator read before the write.
 
-    A write without one is refused, as it would undo what others wrote.
+    A write without one is refused, as it could overwrite others' changes.
     """
     match = environ.get("HTTP_IF_MATCH", "").strip()
     none_match = environ.get("HTTP_IF_NONE_MATCH", "").strip()
     if match and none_match:
         detail = "send If-Match or If-None-Match, not both"
-        return result.Err(refuse_request(detail))
+        return result.Err(make_bad_request(detail))
     if none_match:
         if none_match != "*":
             detail = "If-None-Match must be *: nothing is there yet"
-            return result.Err(refuse_request(detail))
+            return result.Err(make_bad_request(detail))
         return result.Ok(Precondition(ids.Revision(0)))
     if not match:
         detail = 'send If-Match: "REVISION" of what was read, or'
@@ -76,44 +76,44 @@
                 detail=f"{detail} If-None-Match: * to create",
             )
         )
-    tag = _TAG.fullmatch(match)
+    tag = _ENTITY_TAG.fullmatch(match)
     if tag is None:
         detail = 'If-Match must be one revision in quotes, such as "41"'
-        return result.Err(refuse_request(detail))
+        return result.Err(make_bad_request(detail))
     return result.Ok(Precondition(ids.Revision(int(tag[1]))))
 
 
 def read_write_id(
     environ: Environ, make: Callable[[], ids.WriteId]
 ) -> result.Result[ids.WriteId, errors.Refusal]:
-    """Returns the request's `Idempotency-Key`, or a new id without one."""
+    """Returns the `Idempotency-Key`, or a generated id without one."""
     text = environ.get("HTTP_IDEMPOTENCY_KEY", "").strip()
     if not text:
         return result.Ok(make())
     if not _WRITE_ID.fullmatch(text):
         detail = "Idempotency-Key: 1 to 64 letters, digits, '.', '_', '-'"
-        return result.Err(refuse_request(detail))
+        return result.Err(make_bad_request(detail))
     return result.Ok(ids.WriteId(text))
 
 
 def read_revision(
     environ: Environ,
 ) -> result.Result[ids.Revision | None, errors.Refusal]:
-    """Returns `?revision=` of the request, or None without one."""
+    """Returns the query parameter `revision`, or None without one."""
     query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
     values = query.get("revision")
     if not values:
         return result.Ok(None)
     if not _NUMBER.fullmatch(values[0]):
-        return result.Err(refuse_request("revision must be a number"))
+        return result.Err(make_bad_request("revision must be a number"))
     return result.Ok(ids.Revision(int(values[0])))
 
 
 def read_body(environ: Environ) -> result.Result[bytes, errors.Refusal]:
-    """Returns the request's body, if it is whole and within the limit."""
+    """Returns the body, unless it is truncated or exceeds the limit."""
     length = environ.get("CONTENT_LENGTH") or "0"
     if not _NUMBER.fullmatch(length):
-        return result.Err(refuse_request("Content-Length must be a number"))
+        return result.Err(make_bad_request("Content-Length must be a number"))
     if int(length) > BODY_LIMIT:
         return result.Err(
             errors.Refusal(
@@ -124,5 +124,5 @@
         )
     body = environ["wsgi.input"].read(int(length))
     if len(body) < int(length):
-        return result.Err(refuse_request("the body ended early"))
+        return result.Err(make_bad_request("the body ended early"))
     return result.Ok(body)
--- a/pollenfork/operator/tests/support.py
+++ b/pollenfork/operator/tests/support.py
@@ -1,4 +1,4 @@
-"""An operator interface on a fake table, called as WSGI calls it."""
+"""Test support: the WSGI application of operators on a fake table."""
 
 import io
 import random
@@ -34,8 +34,8 @@
 )
 
 
-class Answer(msgspec.Struct):
-    """What came back."""
+class Response(msgspec.Struct):
+    """A decoded response."""
 
     status: int
     headers: dict[str, str]
@@ -52,7 +52,7 @@
 
 
 class FakeEndpoints:
-    """Remembers drains; `failing` makes them fail."""
+    """Records drained endpoints; fails while `failing` is set."""
 
     def __init__(self) -> None:
         self.drained: list[str] = []
@@ -71,8 +71,8 @@
         return result.Ok(None)
 
 
-class Rig:
-    """One instance's operator interface."""
+class Harness:
+    """The operator interface of one instance with its fakes."""
 
     def __init__(
         self, table: settings_support.FakeTable | None = None, seed: int = 0
@@ -82,14 +82,14 @@
         self.endpoints = FakeEndpoints()
         self.metrics = metrics.Metrics()
         self.seed = seed
-        self.made_ids = 0
+        self.generated_ids = 0
         self.settings = service.Service(
             self.table,
             self.site.clock,
             random.Random(seed),
             self.site.wait,
             lambda: self.site.in_force,
-            self.note_written,
+            self.record_written,
             (settings_support.ROOT_OPERATOR,),
         )
         self.app = app.Operator(
@@ -101,12 +101,12 @@
             self.make_write_id,
         )
 
-    def note_written(self, written) -> None:
+    def record_written(self, written) -> None:
         self.site.in_force = written.tree
 
     def make_write_id(self) -> ids.WriteId:
-        self.made_ids += 1
-        return ids.WriteId(f"made-{self.seed}-{self.made_ids}")
+        self.generated_ids += 1
+        return ids.WriteId(f"made-{self.seed}-{self.generated_ids}")
 
     def call(
         self,
@@ -117,7 +117,7 @@
         query: str = "",
         length: str | None = None,
         **headers: str,
-    ) -> Answer:
+    ) -> Response:
         environ = {
             "REQUEST_METHOD": method,
             "PATH_INFO": f"/operator/{path}",
@@ -132,12 +132,16 @@
         sent = []
         chunks = self.app(environ, lambda *start: sent.append(start))
         status, fields = sent[0]
-        whole = b"".join(chunks)
-        found = dict(fields)
-        assert found["Content-Length"] == str(len(whole))
-        return Answer(int(status.split()[0]), found, msgspec.json.decode(whole))
+        content = b"".join(chunks)
+        header_map = dict(fields)
+        assert header_map["Content-Length"] == str(len(content))
+        return Response(
+            int(status.split()[0]), header_map, msgspec.json.decode(content)
+        )
 
-    def put(self, path: str, value: object, revision: int, **kwargs) -> Answer:
+    def put(
+        self, path: str, value: object, revision: int, **kwargs
+    ) -> Response:
         body = msgspec.json.encode(value)
         return self.call(
             "PUT",
--- a/pollenfork/operator/tests/test_contract.py
+++ b/pollenfork/operator/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The operator interface by its contract, fault cases in tables."""
+"""Tests the contract of the operator interface, with tables of faults."""
 
 import pathlib
 
@@ -19,10 +19,10 @@
 
 
 @pytest.fixture
-def rig():
-    made = support.Rig()
-    made.site.seed()
-    return made
+def harness():
+    created = support.Harness()
+    created.site.seed()
+    return created
 
 
 # Method, path, arguments, status and code of the refusal.
@@ -83,67 +83,67 @@
 @pytest.mark.parametrize(
     ("method", "path", "arguments", "status", "code"), REFUSALS
 )
-def test_refusals_are_typed_and_change_nothing(
-    rig, method, path, arguments, status, code
+def test_refusal_has_code_and_changes_nothing(
+    harness, method, path, arguments, status, code
 ) -> None:
-    before = rig.table.rows
-    answer = rig.call(method, path, **arguments)
+    before = harness.table.rows
+    answer = harness.call(method, path, **arguments)
     assert (answer.status, answer.code) == (status, code)
     assert answer.headers["X-Outcome"] == "not_run"
     assert ("Allow" in answer.headers) == (status == 405)
     assert ("WWW-Authenticate" in answer.headers) == (status == 401)
     assert "Retry-After" not in answer.headers
-    assert rig.table.rows == before
-    assert rig.endpoints.drained == []
+    assert harness.table.rows == before
+    assert harness.endpoints.drained == []
     counted = f'pollenfork_operator_refusals_total{{code="{code}"}} 1'
-    assert counted in rig.metrics.render()[0].decode()
+    assert counted in harness.metrics.render()[0].decode()
 
 
-def test_a_read_gives_what_was_written_and_its_revision(rig) -> None:
-    answer = rig.call("GET", MORNING, token=TEAM)
+def test_read_returns_written_value_and_revision(harness) -> None:
+    answer = harness.call("GET", MORNING, token=TEAM)
     assert answer.body == {"tier": 0, "protected": True}
     assert answer.headers["ETag"] == '"1"'
     assert answer.headers["X-Settings-Source"] == "table"
 
 
-def test_a_write_to_a_part_is_a_change_of_its_subtree(rig) -> None:
-    answer = rig.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
+def test_partial_write_raises_revision_of_its_subtree_only(harness) -> None:
+    answer = harness.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
     assert answer.status == 200
     assert answer.body["revision"] == 2
     assert answer.headers["ETag"] == '"2"'
-    whole = rig.call("GET", "settings/teams/linework", token=TEAM)
+    whole = harness.call("GET", "settings/teams/linework", token=TEAM)
     assert whole.headers["ETag"] == '"2"'
     assert whole.body["classes"]["summary"] == {"tier": 5}
     assert whole.body["classes"]["morning"]["protected"] is True
-    ledger = rig.call("GET", "settings/teams/ledger", token=OTHER)
+    ledger = harness.call("GET", "settings/teams/ledger", token=OTHER)
     assert ledger.headers["ETag"] == '"1"'
     assert ledger.headers["X-Tree-Revision"] == "2"
 
 
-def test_the_whole_tree_reads_as_it_can_be_written(rig) -> None:
-    read = rig.call("GET", "settings/")
+def test_whole_tree_can_be_read_and_written_back(harness) -> None:
+    read = harness.call("GET", "settings/")
     assert read.body == {**settings_support.TREE, "revision": 1}
     changed = settings_support.edit(
         read.body, "teams.ledger.classes.review.tier", 3
     )
-    written = rig.put("", changed, 1)
+    written = harness.put("", changed, 1)
     assert (written.status, written.body["revision"]) == (200, 2)
-    root = rig.call("GET", "settings/root")
+    root = harness.call("GET", "settings/root")
     assert root.headers["ETag"] == '"1"'
 
 
-def test_every_error_of_a_bad_tree_is_named(rig) -> None:
+def test_all_violations_of_invalid_tree_are_reported(harness) -> None:
     bad = {"tier": 9, "target_gap_ms": 0, "minimum_share": 0.1}
-    answer = rig.put(SUMMARY, bad, 1, token=TEAM)
+    answer = harness.put(SUMMARY, bad, 1, token=TEAM)
     assert answer.status == 422
-    place = "teams.linework.classes.summary"
+    path = "teams.linework.classes.summary"
     assert answer.body["error"]["violations"] == [
-        {"path": place, "rule": "tier must be < 7"},
-        {"path": place, "rule": "target_gap_ms must be > 0"},
+        {"path": path, "rule": "tier must be < 7"},
+        {"path": path, "rule": "target_gap_ms must be > 0"},
     ]
 
 
-# What a team may not do to its own subtree, by the ceilings of the root.
+# Writes of a team to its own subtree that exceed the ceilings of the root.
 CEILINGS = [
     ("ledger", "classes/review", {"tier": 0}, "tier must be >= 1"),
     ("ledger", "classes/review", {"tier": 1, "protected": True},
@@ -155,29 +155,31 @@
 
 
 @pytest.mark.parametrize(("team", "path", "value", "rule"), CEILINGS)
-def test_a_team_cannot_raise_itself(rig, team, path, value, rule) -> None:
+def test_team_cannot_exceed_ceilings_of_root(
+    harness, team, path, value, rule
+) -> None:
     token = settings_support.TEAM_TOKENS[team]
-    answer = rig.put(f"teams/{team}/{path}", value, 1, token=token)
+    answer = harness.put(f"teams/{team}/{path}", value, 1, token=token)
     assert (answer.status, answer.code) == (422, "bad_tree")
     assert answer.body["error"]["violations"][0]["rule"].startswith(rule)
 
 
-def test_racing_operators_have_one_winner_and_the_other_is_told(rig) -> None:
-    second = support.Rig(rig.table, seed=1)
-    second.site.in_force = rig.site.in_force
+def test_one_of_two_concurrent_writes_is_refused_as_stale(harness) -> None:
+    second = support.Harness(harness.table, seed=1)
+    second.site.in_force = harness.site.in_force
     won = []
-    rig.table.before_commit = lambda: won.append(
+    harness.table.before_commit = lambda: won.append(
         second.put(SUMMARY, {"tier": 6}, 1, token=TEAM)
     )
-    lost = rig.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
+    lost = harness.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
     assert won[0].status == 200
     assert (lost.status, lost.code) == (412, "stale_revision")
     assert lost.headers["ETag"] == '"2"'
     assert lost.body["error"]["revision"] == 2
-    assert rig.call("GET", f"settings/{SUMMARY}").body == {"tier": 6}
+    assert harness.call("GET", f"settings/{SUMMARY}").body == {"tier": 6}
 
 
-# Faults of the commits, then the status, code and known outcome.
+# Faults of the commits, then the expected status, code and outcome.
 FAULTS = [
     (["down"] * 1000, 503, "not_written", "not_run"),
     (["lost_before"] * 1000, 504, "write_unknown", "unknown"),
@@ -186,17 +188,17 @@
 
 
 @pytest.mark.parametrize(("faults", "status", "code", "outcome"), FAULTS)
-def test_a_write_that_failed_says_what_is_known_and_can_be_repeated(
-    rig, faults, status, code, outcome
+def test_failed_write_reports_outcome_and_can_be_retried(
+    harness, faults, status, code, outcome
 ) -> None:
-    rig.table.faults = list(faults)
-    answer = rig.put(SUMMARY, {"tier": 5}, 1, idempotency_key="k-1")
+    harness.table.faults = list(faults)
+    answer = harness.put(SUMMARY, {"tier": 5}, 1, idempotency_key="k-1")
     assert (answer.status, answer.code) == (status, code)
     assert answer.headers["X-Outcome"] == outcome
     assert answer.headers["Retry-After"] == "1"
-    rig.table.faults = []
-    second = support.Rig(rig.table, seed=1)
-    second.site.in_force = rig.site.in_force
+    harness.table.faults = []
+    second = support.Harness(harness.table, seed=1)
+    second.site.in_force = harness.site.in_force
     again = second.put(SUMMARY, {"tier": 5}, 1, idempotency_key="k-1")
     assert (again.status, again.body["revision"]) == (200, 2)
     assert again.body["repeated"] == (faults[0] == "lost_after")
@@ -204,76 +206,78 @@
     assert (other.status, other.code) == (422, "write_id_reused")
 
 
-def test_without_the_table_reads_show_what_is_in_force(rig) -> None:
-    rig.table.cut()
-    answer = rig.call("GET", f"settings/{SUMMARY}", token=TEAM)
+def test_reads_return_settings_in_force_during_table_outage(harness) -> None:
+    harness.table.cut()
+    answer = harness.call("GET", f"settings/{SUMMARY}", token=TEAM)
     assert answer.body == {"tier": 4}
     assert answer.headers["X-Settings-Source"] == "in-force"
-    written = rig.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
+    written = harness.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
     assert (written.status, written.code) == (503, "not_written")
-    history = rig.call("GET", "settings-history/teams/linework")
+    history = harness.call("GET", "settings-history/teams/linework")
     assert (history.status, history.code) == (503, "unavailable")
     assert history.headers["Retry-After"] == "1"
 
 
-def test_a_table_restored_from_a_backup_shows_and_takes_nothing(rig) -> None:
-    rig.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
-    rig.table.lose_rows()
-    settings_support.Site(rig.table, seed=2).seed()
-    shown = rig.call("GET", f"settings/{SUMMARY}")
+def test_table_restored_from_backup_is_neither_read_nor_written(
+    harness,
+) -> None:
+    harness.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
+    harness.table.lose_rows()
+    settings_support.Site(harness.table, seed=2).seed()
+    shown = harness.call("GET", f"settings/{SUMMARY}")
     assert shown.body == {"tier": 5}
     assert shown.headers["X-Settings-Source"] == "in-force"
-    refused = rig.put(SUMMARY, {"tier": 6}, 2, token=TEAM)
+    refused = harness.put(SUMMARY, {"tier": 6}, 2, token=TEAM)
     assert (refused.status, refused.code) == (503, "not_written")
     assert "TableBehind" in refused.body["error"]["message"]
 
 
-def test_an_instance_without_settings_knows_only_the_first_operators() -> None:
-    rig = support.Rig()
-    answer = rig.call("GET", "status", token=TEAM)
+def test_instance_without_settings_accepts_only_first_operators() -> None:
+    harness = support.Harness()
+    answer = harness.call("GET", "status", token=TEAM)
     assert (answer.status, answer.code) == (503, "not_ready")
-    assert rig.call("GET", "endpoints").code == "not_ready"
-    first = rig.call(
+    assert harness.call("GET", "endpoints").code == "not_ready"
+    first = harness.call(
         "PUT",
         "settings/",
         body=b'{"root":{"operator_sha256":[]}}',
         if_none_match="*",
     )
     assert (first.status, first.body["revision"]) == (200, 1)
-    assert rig.call("GET", "status", token=TEAM).code == "wrong_token"
+    assert harness.call("GET", "status", token=TEAM).code == "wrong_token"
 
 
-def test_history_lists_writes_and_gives_their_content(rig) -> None:
-    rig.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
+def test_history_lists_writes_and_returns_their_content(harness) -> None:
+    harness.put(SUMMARY, {"tier": 5}, 1, token=TEAM)
     path = "settings-history/teams/linework"
-    listed = rig.call("GET", path, token=TEAM).body["entries"]
+    listed = harness.call("GET", path, token=TEAM).body["entries"]
     assert [entry["revision"] for entry in listed] == [1, 2]
     assert listed[1]["write_id"] == "made-0-1"
     assert listed[1]["operator"] != listed[0]["operator"]
-    old = rig.call("GET", path, token=TEAM, query="revision=1").body
+    old = harness.call("GET", path, token=TEAM, query="revision=1").body
     assert old == settings_support.LINEWORK
 
 
-def test_status_shows_every_instance(rig) -> None:
-    body = rig.call("GET", "status", token=TEAM).body
+def test_status_lists_every_instance(harness) -> None:
+    body = harness.call("GET", "status", token=TEAM).body
     assert (body["instance"], body["newest"]) == ("entry-1", 1)
     assert [report["revision"] for report in body["instances"]] == [1, 0]
     assert body["instances"][1]["state"] == "suspected"
 
 
-def test_endpoints_show_settings_and_what_is_seen(rig) -> None:
-    listed = rig.call("GET", "endpoints", token=TEAM).body["endpoints"]
+def test_endpoints_list_settings_and_live_state(harness) -> None:
+    listed = harness.call("GET", "endpoints", token=TEAM).body["endpoints"]
     assert [entry["endpoint"] for entry in listed] == ["runner-1", "photos-1"]
     assert listed[0]["live"]["in_flight"] == 3
     assert listed[1]["live"] is None
 
 
-def test_a_drain_is_ordered_or_the_failure_is_told(rig) -> None:
-    answer = rig.call("POST", "endpoints/runner-1/drain")
+def test_drain_is_requested_or_failure_reported(harness) -> None:
+    answer = harness.call("POST", "endpoints/runner-1/drain")
     assert (answer.status, answer.body) == (202, {"endpoint": "runner-1"})
-    assert rig.endpoints.drained == ["runner-1"]
-    rig.endpoints.failing = True
-    failed = rig.call("POST", "endpoints/runner-1/drain")
+    assert harness.endpoints.drained == ["runner-1"]
+    harness.endpoints.failing = True
+    failed = harness.call("POST", "endpoints/runner-1/drain")
     assert (failed.status, failed.code) == (503, "unavailable")
     assert failed.headers["X-Outcome"] == failures.Outcome.UNKNOWN.value
 
@@ -296,19 +300,19 @@
         and kind is not settings_errors.SettingsFailure
     ],
 )
-def test_every_settings_failure_has_its_answer(kind) -> None:
+def test_every_settings_failure_maps_to_refusal(kind) -> None:
     extra = {
         settings_errors.BadDocument: {"violations": ()},
         settings_errors.BadTree: {"violations": ()},
         settings_errors.Stale: {"current": 1},
     }
-    refusal = errors.refuse(kind(**extra.get(kind, {})))
+    refusal = errors.make_settings_refusal(kind(**extra.get(kind, {})))
     assert refusal.status >= 400
     assert (refusal.code is errors.Code.UNAVAILABLE) == (kind in OUTAGES)
     assert (refusal.retry_after_s is not None) == (refusal.status >= 503)
 
 
 @pytest.mark.parametrize("code", errors.Code)
-def test_the_operators_page_names_every_code(code) -> None:
+def test_operators_page_names_every_code(code) -> None:
     page = PAGE.read_text().partition("\n| Status | Code |\n")[2]
     assert f"`{code.value}`" in page
--- a/pollenfork/operator/tests/test_session.py
+++ b/pollenfork/operator/tests/test_session.py
@@ -1,4 +1,4 @@
-"""A whole session of two operators, byte for byte."""
+"""Compares a session of two operators with a golden transcript."""
 
 import io
 import pathlib
@@ -34,7 +34,9 @@
 ]  # fmt: skip
 
 
-def play(rig: support.Rig, method, target, token, headers, body) -> str:
+def format_exchange(
+    harness: support.Harness, method, target, token, headers, body
+) -> str:
     environ = {
         "REQUEST_METHOD": method,
         "PATH_INFO": target,
@@ -45,17 +47,19 @@
     for name, value in headers.items():
         environ[f"HTTP_{name.upper().replace('-', '_')}"] = value
     sent = []
-    chunks = rig.app(environ, lambda *start: sent.append(start))
+    chunks = harness.app(environ, lambda *start: sent.append(start))
     status, fields = sent[0]
     request = [f"> {method} {target}", f"> Authorization: Bearer {token}"]
     request += [f"> {name}: {value}" for name, value in headers.items()]
     reply = [f"< {status}", *(f"< {name}: {value}" for name, value in fields)]
-    whole = b"".join(chunks).decode()
-    return "\n".join([*request, f"> {body.decode()}", *reply, f"< {whole}\n"])
+    content = b"".join(chunks).decode()
+    return "\n".join([*request, f"> {body.decode()}", *reply, f"< {content}\n"])
 
 
-def test_a_session_reads_as_ever() -> None:
-    rig = support.Rig()
-    rig.site.seed()
-    played = "\n".join(play(rig, *step) for step in SESSION)
-    assert played == GOLDEN.read_text()
+def test_session_matches_golden_transcript() -> None:
+    harness = support.Harness()
+    harness.site.seed()
+    transcript = "\n".join(
+        format_exchange(harness, *exchange) for exchange in SESSION
+    )
+    assert transcript == GOLDEN.read_text()
--- a/pollenfork/operator/tree.py
+++ b/pollenfork/operator/tree.py
@@ -1,4 +1,4 @@
-"""The calls under `settings/` and `settings-history/`."""
+"""Handles requests under `settings/` and `settings-history/`."""
 
 from collections.abc import Callable
 
@@ -18,50 +18,50 @@
 
 
 class TreeHandler:
-    """Turns calls into reads and writes; any thread may call it."""
+    """Reads and writes the settings tree; safe to call from any thread."""
 
     def __init__(
         self,
         settings: settings_edges.SettingsService,
         make_write_id: Callable[[], ids.WriteId],
     ) -> None:
-        """Wires the handler.
+        """Creates the handler.
 
         Args:
-            settings: Reads and writes.
-            make_write_id: Returns an id for a write that came without one.
+            settings: Reads and writes the settings.
+            make_write_id: Generates an id for a write sent without one.
         """
         self._settings = settings
         self._make_write_id = make_write_id
 
     def get(self, operator: str, path: str) -> Outcome:
-        """Returns what is at a path, with its subtree's revision as ETag."""
+        """Returns the value at a path, with its subtree's revision as ETag."""
         read = self._settings.read(operator, path)
         if isinstance(read, result.Err):
-            return result.Err(errors.refuse(read.err_value))
-        reading = read.ok_value
+            return result.Err(errors.make_settings_refusal(read.err_value))
+        subtree = read.ok_value
         headers = (
-            ("ETag", f'"{reading.revision}"'),
-            ("X-Tree-Revision", str(reading.tree_revision)),
-            ("X-Settings-Source", reading.source.value),
+            ("ETag", f'"{subtree.revision}"'),
+            ("X-Tree-Revision", str(subtree.tree_revision)),
+            ("X-Settings-Source", subtree.source.value),
         )
-        return result.Ok(replies.Reply(reading.value, headers))
+        return result.Ok(replies.Reply(subtree.value, headers))
 
     def put(
         self, operator: str, path: str, environ: request.Environ
     ) -> Outcome:
-        """Writes what is at a path, if its revision is the expected one."""
-        read = self._read_write(operator, path, environ)
+        """Writes the value at a path if it has the expected revision."""
+        read = self._parse_write(operator, path, environ)
         if isinstance(read, result.Err):
             return read
-        wanted = read.ok_value
-        written = self._settings.write(wanted)
+        write_request = read.ok_value
+        written = self._settings.write(write_request)
         if isinstance(written, result.Err):
-            return result.Err(errors.refuse(written.err_value))
+            return result.Err(errors.make_settings_refusal(written.err_value))
         reply = messages.WriteReply(
             path=path.strip("/"),
             revision=written.ok_value.revision,
-            write_id=wanted.write_id,
+            write_id=write_request.write_id,
             repeated=written.ok_value.repeated,
         )
         headers = (("ETag", f'"{reply.revision}"'),)
@@ -70,26 +70,26 @@
     def history(
         self, operator: str, path: str, environ: request.Environ
     ) -> Outcome:
-        """Returns the kept writes of the subtree that the path is in.
+        """Returns the stored writes to the subtree that contains the path.
 
-        With `?revision=N` it returns the subtree as that write left it.
+        With `?revision=N`, returns the subtree's value after that write.
         """
         revision = request.read_revision(environ)
         if isinstance(revision, result.Err):
             return revision
         listed = self._settings.list_history(operator, path)
         if isinstance(listed, result.Err):
-            return result.Err(errors.refuse(listed.err_value))
+            return result.Err(errors.make_settings_refusal(listed.err_value))
         if revision.ok_value is None:
-            return result.Ok(_list_history(path, listed.ok_value))
+            return result.Ok(_make_history_reply(path, listed.ok_value))
         for entry in listed.ok_value:
             if entry.revision == revision.ok_value:
                 return result.Ok(replies.Reply(entry.value))
         detail = f"no write of revision {revision.ok_value} is kept of {path}"
         failure = settings_errors.NoSuchPath(detail=detail)
-        return result.Err(errors.refuse(failure))
+        return result.Err(errors.make_settings_refusal(failure))
 
-    def _read_write(
+    def _parse_write(
         self, operator: str, path: str, environ: request.Environ
     ) -> result.Result[settings_messages.WriteRequest, errors.Refusal]:
         precondition = request.read_precondition(environ)
@@ -112,8 +112,8 @@
         )
 
 
-def _list_history(
-    path: str, found: tuple[settings_messages.HistoryEntry, ...]
+def _make_history_reply(
+    path: str, history: tuple[settings_messages.HistoryEntry, ...]
 ) -> replies.Reply:
     entries = tuple(
         messages.HistoryLine(
@@ -122,7 +122,7 @@
             operator=entry.operator,
             at=entry.at,
         )
-        for entry in found
+        for entry in history
     )
     reply = messages.HistoryReply(path=path.strip("/"), entries=entries)
     return replies.Reply(msgspec.json.encode(reply))
