--- a/pollenfork/cli/arguments.py
+++ b/pollenfork/cli/arguments.py
@@ -7,7 +7,7 @@
 
 
 class Format(enum.Enum):
-    """How results are written."""
+    """Output format of results."""
 
     TABLE = "table"
     JSON = "json"
@@ -24,6 +24,6 @@
 
 
 def make_examples(*lines: str) -> str:
-    """Returns the end of a command's help text."""
+    """Returns the examples that end a command's help text."""
     shown = "\n".join(f"    pollenfork {line}" for line in lines)
     return f"Examples:\n\n{shown}"
--- a/pollenfork/cli/definition.py
+++ b/pollenfork/cli/definition.py
@@ -1,8 +1,9 @@
-"""The command line, declared as data.
+"""Declarations of the commands and their arguments.
 
-A command names its behaviour as `module:function`, which is imported when it
-runs: `entry` must not load what only the load tool needs. A behaviour takes
-the command and a `context.Environment` and returns an `ExitStatus`.
+Each command refers to its implementation as `module:function`, which is only
+imported when the command runs, so that `entry` doesn't load the dependencies
+of the load tool. The function takes the command and a `context.Environment`
+and returns an `ExitStatus`.
 """
 
 import dataclasses
@@ -30,7 +31,7 @@
 )
 @dataclasses.dataclass
 class Entry:
-    """One entry instance."""
+    """Arguments of `entry`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.serving:run_entry"
 
@@ -44,7 +45,7 @@
 )
 @dataclasses.dataclass
 class StandinPlatform:
-    """The platform stand-in."""
+    """Arguments of `standin platform`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.serving:run_platform"
 
@@ -58,7 +59,7 @@
 )
 @dataclasses.dataclass
 class StandinEngine:
-    """An engine stand-in."""
+    """Arguments of `standin engine`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.serving:run_engine"
 
@@ -72,7 +73,7 @@
 )
 @dataclasses.dataclass
 class StandinService:
-    """A plain-service stand-in."""
+    """Arguments of `standin service`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.serving:run_service"
 
@@ -88,7 +89,7 @@
 )
 @dataclasses.dataclass
 class Standin:
-    """The stand-ins."""
+    """The subcommands of `standin`."""
 
     command: cappa.Subcommands[StandinPlatform | StandinEngine | StandinService]
 
@@ -103,7 +104,7 @@
 )
 @dataclasses.dataclass
 class Load:
-    """A load run."""
+    """Arguments of `load`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.loading:run_load"
 
@@ -148,7 +149,7 @@
 )
 @dataclasses.dataclass
 class Trial:
-    """The embedded default."""
+    """Arguments of `trial`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.trial:run_trial"
 
@@ -180,7 +181,7 @@
 )
 @dataclasses.dataclass
 class Explain:
-    """One request, explained."""
+    """Arguments of `explain`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.explaining:run_explain"
 
@@ -198,7 +199,7 @@
 )
 @dataclasses.dataclass
 class Losses:
-    """All requests in some logs, by how they ended."""
+    """Arguments of `losses`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.explaining:run_losses"
 
@@ -212,7 +213,7 @@
 )
 @dataclasses.dataclass
 class News:
-    """Changes of settings and runners, and how late they were known."""
+    """Arguments of `news`: how late instances learned of each change."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.explaining:run_news"
 
@@ -226,7 +227,7 @@
 )
 @dataclasses.dataclass
 class Duties:
-    """Who acted for all, what was reported, and which runners ordered."""
+    """Arguments of `duties`: which instance acted, reported and scaled."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.explaining:run_duties"
 
@@ -240,7 +241,7 @@
 )
 @dataclasses.dataclass
 class Pollenfork:
-    """The program."""
+    """The top-level command."""
 
     command: cappa.Subcommands[
         Entry
--- a/pollenfork/cli/explaining.py
+++ b/pollenfork/cli/explaining.py
@@ -1,4 +1,4 @@
-"""Behaviour of `explain`, `losses`, `news` and `duties`."""
+"""Implements the log commands `explain`, `losses`, `news`, `duties`."""
 
 import pathlib
 
@@ -17,31 +17,35 @@
 from pollenfork.logbook import trace
 from pollenfork.logbook import trace_report
 
-_INPUT = pathlib.Path("-")
+_STDIN_PATH = pathlib.Path("-")
 
 
 def run_explain(
     command: definition.Explain, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes one request's course through the logs, and its cause."""
-    log = _read_all(command.file, env)
+    """Writes the trace of one request in the logs and why it ended so."""
+    log = _read_logs(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
-    found = trace.collect(command.request, log)
+    collected = trace.collect(command.request, log)
     if command.format is definition.Format.JSON:
-        told = {"course": found, "cause": causes.explain(found)}
-        body = msgspec.json.format(msgspec.json.encode(told))
+        output = {"course": collected, "cause": causes.explain(collected)}
+        body = msgspec.json.format(msgspec.json.encode(output))
         env.stdout.write(body.decode() + "\n")
     else:
-        trace_report.write(found, env.stdout)
-    return status.ExitStatus.SUCCESS if found.lines else status.ExitStatus.ERROR
+        trace_report.write(collected, env.stdout)
+    return (
+        status.ExitStatus.SUCCESS
+        if collected.lines
+        else status.ExitStatus.ERROR
+    )
 
 
 def run_losses(
     command: definition.Losses, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes how all requests in the logs ended."""
-    log = _read_all(command.file, env)
+    """Writes counts of how the requests in the logs ended."""
+    log = _read_logs(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
     losses_report.write(losses.count(log), env.stdout)
@@ -51,8 +55,8 @@
 def run_news(
     command: definition.News, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes when each instance had each change."""
-    log = _read_all(command.file, env)
+    """Writes when each instance received each change."""
+    log = _read_logs(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
     propagation_report.write(propagation.list_changes(log), env.stdout)
@@ -62,28 +66,28 @@
 def run_duties(
     command: definition.Duties, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes what one instance at a time did for all."""
-    log = _read_all(command.file, env)
+    """Writes the cluster-wide work of the instances that held the duties."""
+    log = _read_logs(command.file, env)
     if log is None:
         return status.ExitStatus.USAGE
     events = duties.list_events(log)
     for event in events:
-        mark = "!" if event.is_problem else " "
-        after_s = event.at - events[0].at
+        marker = "!" if event.is_problem else " "
+        elapsed_s = event.at - events[0].at
         env.stdout.write(
-            f"{mark} {after_s:8.1f} s  {event.instance}  {event.text}\n"
+            f"{marker} {elapsed_s:8.1f} s  {event.instance}  {event.text}\n"
         )
     return status.ExitStatus.SUCCESS
 
 
-def _read_all(
+def _read_logs(
     files: list[pathlib.Path], env: context.Environment
 ) -> list[lines.Line] | None:
-    """Returns the lines of all files; None where that was told to fail."""
+    """Returns the lines of all files; reports an error and returns None."""
     log: list[lines.Line] = []
     for path in files:
         try:
-            log += _read(path, env)
+            log += _parse_log(path, env)
         except OSError as error:
             env.fail(f"{path} can't be read: {error.strerror}")
             return None
@@ -93,8 +97,10 @@
     return log
 
 
-def _read(path: pathlib.Path, env: context.Environment) -> list[lines.Line]:
-    if path == _INPUT:
+def _parse_log(
+    path: pathlib.Path, env: context.Environment
+) -> list[lines.Line]:
+    if path == _STDIN_PATH:
         return list(lines.parse(env.stdin, "-"))
     with path.open(errors="replace") as source:
         return list(lines.parse(source, path.stem))
--- a/pollenfork/cli/loading.py
+++ b/pollenfork/cli/loading.py
@@ -1,4 +1,4 @@
-"""Behaviour of `load`, and of whatever else shows a load run."""
+"""Implements `load`; `trial` uses its functions too."""
 
 import urllib.parse
 
@@ -20,16 +20,16 @@
 def run_load(
     command: definition.Load, env: context.Environment
 ) -> status.ExitStatus:
-    """Sends a scenario's load and writes its report."""
+    """Runs a load scenario and writes its report."""
     read = config.read_file(command.scenario, scenarios.Scenario)
     if read.is_err():
         env.fail(read.unwrap_err().detail)
         return status.ExitStatus.USAGE
-    unusable = [
+    invalid_urls = [
         url for url in (*command.to, *command.engine) if not _has_port(url)
     ]
-    if unusable:
-        env.fail(f"{unusable[0]!r} is no URL like http://127.0.0.1:8000")
+    if invalid_urls:
+        env.fail(f"{invalid_urls[0]!r} is no URL like http://127.0.0.1:8000")
         return status.ExitStatus.USAGE
     try:
         report = send(read.unwrap(), command.to, command.engine, env)
@@ -37,10 +37,10 @@
         env.fail(f"an engine doesn't tell its runs: {error}")
         return status.ExitStatus.UNREACHABLE
     write(report, command.format, env)
-    reached = min(
-        (figures.attainment for figures in report.classes.values()), default=0.0
+    lowest = min(
+        (results.attainment for results in report.classes.values()), default=0.0
     )
-    if reached < command.expect:
+    if lowest < command.expect:
         return status.ExitStatus.BELOW_TARGET
     return status.ExitStatus.SUCCESS
 
@@ -51,14 +51,14 @@
     engines: list[str],
     env: context.Environment,
 ) -> reports.Report:
-    """Sends a scenario's load, with its progress on the error stream."""
-    with progress.show_progress(env, "requests ended") as show:
+    """Runs a load scenario with its progress shown on stderr."""
+    with progress.show_progress(env, "requests ended") as report_progress:
         return runner.run(
             scenario,
-            tuple(_read_address(url) for url in entries),
-            tuple(_read_address(url) for url in engines),
+            tuple(_parse_address(url) for url in entries),
+            tuple(_parse_address(url) for url in engines),
             clock.SystemClock(),
-            show,
+            report_progress,
         )
 
 
@@ -76,14 +76,14 @@
 
 
 def _has_port(url: str) -> bool:
-    """Returns whether the URL, or bare address, names a host and a port."""
+    """Returns whether a URL or `host:port` has both a host and a port."""
     try:
-        parts = urllib.parse.urlsplit(f"//{_read_address(url)}")
+        parts = urllib.parse.urlsplit(f"//{_parse_address(url)}")
         return bool(parts.hostname and parts.port)
     except ValueError:
         return False
 
 
-def _read_address(url: str) -> str:
-    """Returns `host:port` of a URL, or of a bare address."""
+def _parse_address(url: str) -> str:
+    """Returns `host:port` of a URL or of an address without a scheme."""
     return urllib.parse.urlsplit(url).netloc or url
--- a/pollenfork/cli/operating.py
+++ b/pollenfork/cli/operating.py
@@ -1,4 +1,4 @@
-"""Behaviour of the operators' commands."""
+"""Implements the operators' commands."""
 
 from collections.abc import Mapping, Sequence
 import datetime
@@ -23,22 +23,22 @@
 _Reply = operator_client.Reply
 _Outcome = result.Result[_Reply, status.ExitStatus]
 
-_TOKEN = "POLLENFORK_TOKEN"
-_TO = "POLLENFORK_TO"
-_WRITE_ID = "Idempotency-Key"
-_wait = time.sleep  # Tests put their own here.
+_TOKEN_VARIABLE = "POLLENFORK_TOKEN"
+_URLS_VARIABLE = "POLLENFORK_TO"
+_WRITE_ID_HEADER = "Idempotency-Key"
+_wait = time.sleep  # Replaced in tests.
 
 
 def check_settings(
     command: operator_commands.Check, env: context.Environment
 ) -> status.ExitStatus:
-    """Checks a file and writes every error that it has."""
+    """Validates a settings file and writes all of its errors."""
     body = _read_file(command.file, env)
     if isinstance(body, result.Err):
         return body.err_value
     checked = validation.check_file(body.ok_value)
-    bad = checked.err()
-    violations = bad.violations if bad else ()
+    failure = checked.err()
+    violations = failure.violations if failure else ()
     if command.format is arguments.Format.JSON:
         _write_json(msgspec.json.encode({"violations": violations}), env)
     else:
@@ -55,7 +55,7 @@
 def get_settings(
     command: operator_commands.Get, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes what is at a path."""
+    """Writes the value at a path of the settings."""
     path = f"settings/{command.path.strip('/')}"
     reply = _call(command, env, "GET", path)
     if isinstance(reply, result.Err):
@@ -79,13 +79,13 @@
 def put_settings(
     command: operator_commands.Put, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes a file's content to a path."""
+    """Stores a file's content at a path of the settings."""
     body = _read_file(command.file, env)
     if isinstance(body, result.Err):
         return body.err_value
     write_id = command.write_id or uuid.uuid4().hex
     headers = {
-        _WRITE_ID: write_id,
+        _WRITE_ID_HEADER: write_id,
         "Content-Type": "application/json",
     }
     if command.revision is None:
@@ -108,21 +108,21 @@
 def show_history(
     command: operator_commands.History, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes the kept writes of a subtree, or what one of them left."""
+    """Writes the history of a subtree, or its value at one revision."""
     path = f"settings-history/{command.path.strip('/')}"
-    asked = command.revision is not None
-    query = f"?revision={command.revision}" if asked else ""
+    has_revision = command.revision is not None
+    query = f"?revision={command.revision}" if has_revision else ""
     reply = _call(command, env, "GET", path, query=query)
     if isinstance(reply, result.Err):
         return reply.err_value
-    if asked or command.format is arguments.Format.JSON:
+    if has_revision or command.format is arguments.Format.JSON:
         _write_json(reply.ok_value.body, env)
         return status.ExitStatus.SUCCESS
     history = msgspec.json.decode(
         reply.ok_value.body, type=messages.HistoryReply
     )
     rows = [
-        (str(e.revision), _write_time(e.at), e.operator, e.write_id)
+        (str(e.revision), _format_time(e.at), e.operator, e.write_id)
         for e in history.entries
     ]
     _write_table(("revision", "at", "operator", "write id"), rows, env)
@@ -132,7 +132,7 @@
 def list_endpoints(
     command: operator_commands.Endpoints, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes the endpoints and what the asked instance sees of them."""
+    """Writes the endpoints and their state at the answering instance."""
     reply = _call(command, env, "GET", "endpoints")
     if isinstance(reply, result.Err):
         return reply.err_value
@@ -153,7 +153,7 @@
 def drain_endpoint(
     command: operator_commands.Drain, env: context.Environment
 ) -> status.ExitStatus:
-    """Orders that an endpoint take no new work."""
+    """Requests that an endpoint take no new work."""
     path = f"endpoints/{command.endpoint}/drain"
     reply = _call(command, env, "POST", path)
     if isinstance(reply, result.Err):
@@ -168,7 +168,7 @@
 def show_status(
     command: operator_commands.Status, env: context.Environment
 ) -> status.ExitStatus:
-    """Writes all instances and the revision in force at each."""
+    """Writes all instances and the settings revision in force at each."""
     reply = _call(command, env, "GET", "status")
     if isinstance(reply, result.Err):
         return reply.err_value
@@ -183,8 +183,8 @@
             report.state.value,
             str(report.revision),
             str(shown.newest - report.revision),
-            _write_seconds(report.age_s),
-            _write_seconds(report.heard_s_ago),
+            _format_seconds(report.age_s),
+            _format_seconds(report.heard_s_ago),
         )
         for report in shown.instances
     ]
@@ -205,9 +205,9 @@
     body: bytes | None = None,
     query: str = "",
 ) -> _Outcome:
-    urls = command.to or env.variables.get(_TO, "").split()
+    urls = command.to or env.variables.get(_URLS_VARIABLE, "").split()
     if not urls:
-        env.fail(f"say whom to ask: --to URL, or {_TO}")
+        env.fail(f"say whom to ask: --to URL, or {_URLS_VARIABLE}")
         return result.Err(status.ExitStatus.USAGE)
     token = _read_token(command.token_file, env)
     if isinstance(token, result.Err):
@@ -217,16 +217,16 @@
     if isinstance(reply, result.Err):
         failure = reply.err_value
         env.fail(f"no answer: {failure.detail}")
-        write_id = (headers or {}).get(_WRITE_ID)
+        write_id = (headers or {}).get(_WRITE_ID_HEADER)
         if failure.sent and write_id:
             env.fail(f"it may be written: repeat with --write-id {write_id}")
         return result.Err(status.ExitStatus.UNREACHABLE)
     if reply.ok_value.status < http.HTTPStatus.BAD_REQUEST:
         return reply
-    return result.Err(_explain_refusal(reply.ok_value, env))
+    return result.Err(_report_refusal(reply.ok_value, env))
 
 
-def _explain_refusal(
+def _report_refusal(
     reply: _Reply, env: context.Environment
 ) -> status.ExitStatus:
     try:
@@ -251,10 +251,12 @@
     if path is not None:
         read = _read_file(path, env)
         return read.map(lambda body: body.decode().strip())
-    token = env.variables.get(_TOKEN, "")
+    token = env.variables.get(_TOKEN_VARIABLE, "")
     if token:
         return result.Ok(token)
-    env.fail(f"give the operator's token: --token-file FILE, or {_TOKEN}")
+    env.fail(
+        f"give the operator's token: --token-file FILE, or {_TOKEN_VARIABLE}"
+    )
     return result.Err(status.ExitStatus.USAGE)
 
 
@@ -284,28 +286,28 @@
 
 def _make_row(entry: messages.EndpointEntry) -> tuple[str, ...]:
     settings, live = entry.settings, entry.live
-    known = (
+    configured = (
         entry.endpoint,
         settings.kind.value,
         settings.data_centre,
         settings.address,
     )
     if live is None:
-        return (*known, "-", "-", "-", "-", "-")
+        return (*configured, "-", "-", "-", "-", "-")
     return (
-        *known,
+        *configured,
         live.state.value,
         str(live.in_flight),
         str(live.running),
         str(live.waiting),
-        _write_seconds(live.report_age_s),
+        _format_seconds(live.report_age_s),
     )
 
 
-def _write_seconds(seconds: float | None) -> str:
+def _format_seconds(seconds: float | None) -> str:
     return "-" if seconds is None else f"{seconds:.1f} s"
 
 
-def _write_time(at: float) -> str:
+def _format_time(at: float) -> str:
     moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S UTC")
--- a/pollenfork/cli/operator_client.py
+++ b/pollenfork/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the operator interface, tried at several instances."""
+"""HTTP client of the operator interface with failover."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 import urllib.parse
@@ -10,33 +10,33 @@
 from pollenfork import failures
 
 ROUNDS = 3
-"""How often each instance is tried; every call may be repeated safely."""
+"""Attempts per instance; every call is safe to repeat."""
 _PAUSE_S = 1.0
 _CONNECT_TIMEOUT_S = 2.0
-# A write is tried for 10 s behind the interface, and where the platform hangs
-# the last of its calls takes as long again.
+# The server retries a write for 10 s, and if the platform hangs, its last call
+# takes another 10 s.
 _READ_TIMEOUT_S = 30.0
 _SERVER_ERROR = 500
 _NEVER_SENT = (
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.NewConnectionError,
-    ValueError,  # A URL or a header that can't be written.
+    ValueError,  # An invalid URL or header.
 )
 
 
 class NoAnswer(failures.Failure, frozen=True, kw_only=True):
-    """No instance gave an answer that settles the call.
+    """No instance gave an answer that shows the outcome of the call.
 
     Attributes:
-        sent: An instance may have had the call, so that it may have had its
-            effect.
+        sent: Whether an instance may have received the call, and so may
+            have executed it.
     """
 
     sent: bool
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """An instance's answer."""
+    """An instance's HTTP response."""
 
     status: int
     headers: Mapping[str, str]
@@ -44,17 +44,17 @@
 
 
 class OperatorClient:
-    """Asks the first of several instances that answers."""
+    """Calls several instances in round_number until one answers."""
 
     def __init__(
         self, urls: Sequence[str], token: str, wait: Callable[[float], None]
     ) -> None:
-        """Wires a client.
+        """Creates a client.
 
         Args:
             urls: Base URLs of entry instances, tried in this order.
             token: The operator's token.
-            wait: Sleeps so many seconds.
+            wait: Sleeps for the given number of seconds.
         """
         self._urls = [url.rstrip("/") for url in urls]
         self._token = token
@@ -74,25 +74,25 @@
         body: bytes | None = None,
         query: str = "",
     ) -> result.Result[Reply, NoAnswer]:
-        """Returns the first answer that isn't a failure of the instance.
+        """Returns the first answer with a status below 500.
 
-        Where every instance fails, the last answer is returned, or `NoAnswer`
-        if one of the tries may have had an effect.
+        If there is none, returns the last result, or `NoAnswer` if one of the
+        attempts may have taken effect.
         """
         last: result.Result[Reply, NoAnswer]
         last = result.Err(NoAnswer(detail="no instance given", sent=False))
         unknown: NoAnswer | None = None
-        for url in self._list_tries():
+        for url in self._iterate_attempts():
             target = f"{url}/operator/{urllib.parse.quote(path)}{query}"
             last = self._send(method, target, headers, body)
             if last.is_ok() and last.unwrap().status < _SERVER_ERROR:
                 return last
-            unknown = _find_unknown(last) or unknown
+            unknown = _get_unknown_outcome(last) or unknown
         return result.Err(unknown) if unknown else last
 
-    def _list_tries(self) -> Iterator[str]:
-        for turn in range(ROUNDS):
-            if turn:
+    def _iterate_attempts(self) -> Iterator[str]:
+        for round_number in range(ROUNDS):
+            if round_number:
                 self._wait(_PAUSE_S)
             yield from self._urls
 
@@ -113,10 +113,10 @@
         return result.Ok(Reply(answer.status, answer.headers, answer.data))
 
 
-def _find_unknown(
+def _get_unknown_outcome(
     outcome: result.Result[Reply, NoAnswer],
 ) -> NoAnswer | None:
-    """Returns the failure, if the call may have had an effect."""
+    """Returns a failure if the call may have taken effect, else None."""
     if isinstance(outcome, result.Err):
         failure = outcome.err_value
         return failure if failure.sent else None
--- a/pollenfork/cli/operator_commands.py
+++ b/pollenfork/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands, declared as data like `definition`."""
+"""Declarations of the operators' commands; see `definition`."""
 
 import dataclasses
 import pathlib
@@ -8,7 +8,7 @@
 
 from pollenfork.cli import arguments
 
-_TO = "http://10.0.0.1:8000"
+_URL = "http://10.0.0.1:8000"
 
 Urls = Annotated[
     list[str],
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass
 class Target:
-    """Whom a command asks, and as whom."""
+    """Arguments shared by all commands that call an instance."""
 
     to: Urls = dataclasses.field(default_factory=list, kw_only=True)
     token_file: TokenFile = dataclasses.field(default=None, kw_only=True)
@@ -60,7 +60,7 @@
 )
 @dataclasses.dataclass
 class Check:
-    """A check of a file; it asks no instance."""
+    """Arguments of `settings check`, which calls no instance."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:check_settings"
 
@@ -72,12 +72,12 @@
     name="get",
     help="Show what is at a path; its revision goes to the error stream.",
     epilog=arguments.make_examples(
-        f"settings get teams/linework --to {_TO} > linework.json"
+        f"settings get teams/linework --to {_URL} > linework.json"
     ),
 )
 @dataclasses.dataclass
 class Get(Target):
-    """A read of the settings."""
+    """Arguments of `settings get`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:get_settings"
 
@@ -88,13 +88,13 @@
     name="put",
     help="Write what is at a path, unless another operator was first.",
     epilog=arguments.make_examples(
-        f"settings put teams/linework linework.json --revision 41 --to {_TO}",
-        f"settings put teams/newcomers newcomers.json --to {_TO}",
+        f"settings put teams/linework linework.json --revision 41 --to {_URL}",
+        f"settings put teams/newcomers newcomers.json --to {_URL}",
     ),
 )
 @dataclasses.dataclass
 class Put(Target):
-    """A write of the settings."""
+    """Arguments of `settings put`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:put_settings"
 
@@ -123,13 +123,13 @@
     name="history",
     help="List the kept writes of a subtree, or show what one of them left.",
     epilog=arguments.make_examples(
-        f"settings history teams/linework --to {_TO}",
-        f"settings history teams/linework --revision 40 --to {_TO}",
+        f"settings history teams/linework --to {_URL}",
+        f"settings history teams/linework --revision 40 --to {_URL}",
     ),
 )
 @dataclasses.dataclass
 class History(Target):
-    """A read of a subtree's history."""
+    """Arguments of `settings history`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:show_history"
 
@@ -151,7 +151,7 @@
 )
 @dataclasses.dataclass
 class Settings:
-    """The settings commands."""
+    """The subcommands of `settings`."""
 
     command: cappa.Subcommands[Check | Get | Put | History]
 
@@ -159,11 +159,11 @@
 @cappa.command(
     name="endpoints",
     help="List the endpoints and what one instance sees of them.",
-    epilog=arguments.make_examples(f"endpoints --to {_TO}"),
+    epilog=arguments.make_examples(f"endpoints --to {_URL}"),
 )
 @dataclasses.dataclass
 class Endpoints(Target):
-    """A list of the endpoints."""
+    """Arguments of `endpoints`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:list_endpoints"
 
@@ -171,11 +171,11 @@
 @cappa.command(
     name="drain",
     help="Let an endpoint finish its work and take no new work.",
-    epilog=arguments.make_examples(f"drain runner-1 --to {_TO}"),
+    epilog=arguments.make_examples(f"drain runner-1 --to {_URL}"),
 )
 @dataclasses.dataclass
 class Drain(Target):
-    """An order to drain an endpoint."""
+    """Arguments of `drain`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:drain_endpoint"
 
@@ -185,10 +185,10 @@
 @cappa.command(
     name="status",
     help="Show all entry instances and the settings in force at each.",
-    epilog=arguments.make_examples(f"status --to {_TO}"),
+    epilog=arguments.make_examples(f"status --to {_URL}"),
 )
 @dataclasses.dataclass
 class Status(Target):
-    """The status of all instances."""
+    """Arguments of `status`."""
 
     BEHAVIOUR: ClassVar[str] = "pollenfork.cli.operating:show_status"
--- a/pollenfork/cli/sample.py
+++ b/pollenfork/cli/sample.py
@@ -1,4 +1,4 @@
-"""A small settings tree and load of two teams, for `trial`.
+"""Sample settings tree and load scenario of two teams, for `trial`.
 
 The scenarios under `benchmarks/scenarios` use the same keys and classes.
 """
@@ -45,15 +45,15 @@
 def make_tree(
     engines: Sequence[str], services: Sequence[str] = ()
 ) -> model.Tree:
-    """Returns the tree of two teams for engines and services by address."""
+    """Returns the settings for engines and services at given addresses."""
     root = model.RootSettings(
         operator_sha256=(snapshot.hash_key(OPERATOR_TOKEN),),
         ceilings={
             ids.Team(team): model.Ceiling(may_protect=True) for team in _CLASSES
         },
         endpoints={
-            **_name_endpoints("runner", model.EndpointKind.RUNNER, engines),
-            **_name_endpoints("service", model.EndpointKind.SERVICE, services),
+            **_make_endpoints("runner", model.EndpointKind.RUNNER, engines),
+            **_make_endpoints("service", model.EndpointKind.SERVICE, services),
         },
         services=_make_services(services),
     )
@@ -65,7 +65,7 @@
 
 
 def make_scenario() -> scenarios.Scenario:
-    """Returns a short dawn burst of both teams, at about 1.5 times capacity."""
+    """Returns a short burst of both teams at about 1.5 times capacity."""
     return scenarios.Scenario(
         classes={
             "morning": scenarios.LoadClass(
@@ -102,7 +102,7 @@
     )  # fmt: skip
 
 
-def _name_endpoints(
+def _make_endpoints(
     prefix: str, kind: model.EndpointKind, addresses: Sequence[str]
 ) -> dict[ids.EndpointId, model.EndpointSettings]:
     models = (MODEL,) if kind is model.EndpointKind.RUNNER else ()
@@ -124,7 +124,7 @@
 ) -> dict[ids.ServiceName, model.ServiceSettings]:
     if not addresses:
         return {}
-    names = _name_endpoints("service", model.EndpointKind.SERVICE, addresses)
+    names = _make_endpoints("service", model.EndpointKind.SERVICE, addresses)
     return {SERVICE: model.ServiceSettings(endpoints=tuple(names))}
 
 
--- a/pollenfork/cli/serving.py
+++ b/pollenfork/cli/serving.py
@@ -1,4 +1,4 @@
-"""Behaviour of the commands that serve until they are told to stop."""
+"""Implements the commands that serve until SIGTERM or SIGINT."""
 
 from typing import Protocol
 
@@ -12,10 +12,10 @@
 
 class _Standin(Protocol):
     def start(self) -> str:
-        """Listens; returns the address."""
+        """Starts listening and returns the address."""
 
     def stop(self) -> None:
-        """Stops."""
+        """Stops listening."""
 
 
 def run_entry(
@@ -36,9 +36,9 @@
 
     read = config.read_file(command.settings, configs.PlatformConfig)
     if read.is_err():
-        return _refuse(read.unwrap_err(), env)
+        return _report_bad_settings(read.unwrap_err(), env)
     standin = front.PlatformStandin(read.unwrap(), clock.SystemClock())
-    return _serve(standin, env)
+    return _run_until_stopped(standin, env)
 
 
 def run_engine(
@@ -50,9 +50,9 @@
 
     read = config.read_file(command.settings, configs.EngineConfig)
     if read.is_err():
-        return _refuse(read.unwrap_err(), env)
+        return _report_bad_settings(read.unwrap_err(), env)
     standin = front.EngineStandin(read.unwrap(), clock.SystemClock())
-    return _serve(standin, env)
+    return _run_until_stopped(standin, env)
 
 
 def run_service(
@@ -62,17 +62,19 @@
     from pollenfork.standin import service
 
     standin = service.ServiceStandin(command.listen, clock.SystemClock())
-    return _serve(standin, env)
+    return _run_until_stopped(standin, env)
 
 
-def _refuse(
+def _report_bad_settings(
     failure: config.BadSettingsFile, env: context.Environment
 ) -> status.ExitStatus:
     env.fail(failure.detail)
     return status.ExitStatus.USAGE
 
 
-def _serve(standin: _Standin, env: context.Environment) -> status.ExitStatus:
+def _run_until_stopped(
+    standin: _Standin, env: context.Environment
+) -> status.ExitStatus:
     try:
         address = standin.start()
     except (OSError, ValueError) as error:
--- a/pollenfork/cli/signals.py
+++ b/pollenfork/cli/signals.py
@@ -1,4 +1,4 @@
-"""Waiting for the signals that stop a process."""
+"""Waits for the signals that stop a process."""
 
 import signal
 import threading
@@ -7,13 +7,13 @@
 
 
 def wait_for_stop() -> None:
-    """Returns at SIGTERM or SIGINT; for the main thread only."""
-    told = threading.Event()
+    """Blocks until SIGTERM or SIGINT; only works in the main thread."""
+    stop_requested = threading.Event()
 
-    def note_signal(number: int, frame: object) -> None:
+    def handle_signal(number: int, frame: object) -> None:
         del number, frame
-        told.set()
+        stop_requested.set()
 
     for number in _SIGNALS:
-        signal.signal(number, note_signal)
-    told.wait()
+        signal.signal(number, handle_signal)
+    stop_requested.wait()
--- a/pollenfork/cli/tests/test_core.py
+++ b/pollenfork/cli/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The command line from its words to its exit status."""
+"""Tests the command line: arguments, output and exit status."""
 
 import io
 import json
@@ -31,8 +31,8 @@
         stdout_is_terminal=False,
         stderr_is_terminal=False,
     )
-    ended = core.main([str(arg) for arg in args], env)
-    return ended, env.stdout.getvalue(), env.stderr.getvalue()
+    exit_status = core.main([str(arg) for arg in args], env)
+    return exit_status, env.stdout.getvalue(), env.stderr.getvalue()
 
 
 @pytest.fixture
@@ -65,10 +65,10 @@
         ("standin", "service"),
     ],
 )
-def test_every_command_has_help_with_an_example(words):
-    ended, shown, _ = run(*words, "--help")
-    assert ended is status.ExitStatus.SUCCESS
-    _, _, examples = shown.partition("Examples:")
+def test_every_command_has_help_with_example(words):
+    exit_status, stdout, _ = run(*words, "--help")
+    assert exit_status is status.ExitStatus.SUCCESS
+    _, _, examples = stdout.partition("Examples:")
     assert " ".join(("pollenfork", *words)) in examples
 
 
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("words", "message"),
     [
         (("load",), "--scenario"),
         (("fly",), "fly"),
@@ -89,68 +89,66 @@
         (("load", "--scenario", DAWN, "--to", "http://x:y"), "is no URL"),
     ],
 )
-def test_a_wrong_command_line_says_what_is_wrong(words, told):
-    ended, _, errors = run(*words)
-    assert ended is status.ExitStatus.USAGE
-    assert told in errors
+def test_invalid_command_line_is_reported(words, message):
+    exit_status, _, errors = run(*words)
+    assert exit_status is status.ExitStatus.USAGE
+    assert message in errors
 
 
-def test_an_address_that_is_none_is_told():
-    ended, _, errors = run("standin", "service", "--listen", "nonsense")
-    assert ended is status.ExitStatus.ERROR
+def test_invalid_listen_address_is_reported():
+    exit_status, _, errors = run("standin", "service", "--listen", "nonsense")
+    assert exit_status is status.ExitStatus.ERROR
     assert errors.startswith("pollenfork: can't listen: ")
 
 
-def test_a_bad_settings_file_is_refused_with_its_place(tmp_path):
+def test_invalid_settings_file_is_rejected_with_path(tmp_path):
     path = tmp_path / "engine.json"
     path.write_text('{"faults": {"slowdown": 0}}')
-    ended, _, errors = run("standin", "engine", "--settings", path)
-    assert ended is status.ExitStatus.USAGE
+    exit_status, _, errors = run("standin", "engine", "--settings", path)
+    assert exit_status is status.ExitStatus.USAGE
     assert "$.faults.slowdown" in errors
 
 
 @pytest.mark.parametrize(
     "words", [("standin", "platform"), ("standin", "engine")]
 )
-def test_a_standin_serves_until_it_is_told_to_stop(
-    words, tmp_path, monkeypatch
-):
+def test_standin_serves_until_stop_signal(words, tmp_path, monkeypatch):
     waits = []
     monkeypatch.setattr(signals, "wait_for_stop", lambda: waits.append(True))
     path = tmp_path / "settings.json"
     path.write_text("{}")
-    ended, shown, _ = run(*words, "--settings", path)
-    assert ended is status.ExitStatus.SUCCESS
-    assert shown.startswith("listening on 127.0.0.1:")
+    exit_status, stdout, _ = run(*words, "--settings", path)
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert stdout.startswith("listening on 127.0.0.1:")
     assert waits == [True]
 
 
-def test_a_load_run_reports_as_json(engine, scenario):
+def test_load_run_reports_as_json(engine, scenario):
     words = ("--to", engine, "--engine", engine, "--format", "json")
-    ended, shown, _ = run("load", "--scenario", scenario, *words)
-    assert ended is status.ExitStatus.SUCCESS
-    report = json.loads(shown)
-    figures = report["classes"]["morning"]
-    assert figures["sent"] == figures["whole"] > 0
+    exit_status, stdout, _ = run("load", "--scenario", scenario, *words)
+    assert exit_status is status.ExitStatus.SUCCESS
+    report = json.loads(stdout)
+    results = report["classes"]["morning"]
+    assert results["sent"] == results["whole"] > 0
     assert report["waste"]["wasted"] == 0
 
 
-def test_a_load_run_below_the_expected_attainment_says_so(scenario):
+def test_load_run_below_expected_attainment_has_exit_status(scenario):
     words = ("--to", "127.0.0.1:1", "--expect", "0.5")
-    ended, shown, _ = run("load", "--scenario", scenario, *words)
-    assert ended is status.ExitStatus.BELOW_TARGET
-    assert "failed:ConnectionRefusedError" in shown
+    exit_status, stdout, _ = run("load", "--scenario", scenario, *words)
+    assert exit_status is status.ExitStatus.BELOW_TARGET
+    assert "failed:ConnectionRefusedError" in stdout
 
 
-def test_an_engine_that_tells_no_runs_is_unreachable(scenario):
+def test_engine_without_run_counts_is_unreachable(scenario):
     words = ("--to", "127.0.0.1:1", "--engine", "127.0.0.1:1")
-    ended, _, errors = run("load", "--scenario", scenario, *words)
-    assert ended is status.ExitStatus.UNREACHABLE
+    exit_status, _, errors = run("load", "--scenario", scenario, *words)
+    assert exit_status is status.ExitStatus.UNREACHABLE
     assert "an engine" in errors
 
 
 @pytest.mark.parametrize("key", ["listen", "peer_listen"])
-def test_an_entry_that_cant_listen_ends_and_says_so(key, tmp_path):
+def test_entry_that_cannot_listen_exits_with_message(key, tmp_path):
     settings = {
         "instance": "entry-1",
         "data_centre": "amman-1",
@@ -161,10 +159,12 @@
     path = tmp_path / "entry.json"
     path.write_text(json.dumps({**settings, key: "192.0.2.1:1"}))
     program = [sys.executable, "-m", "pollenfork", "entry", "--settings", path]
-    ended = subprocess.run(program, capture_output=True, text=True, timeout=60)
-    assert ended.returncode == status.ExitStatus.ERROR
-    assert "pollenfork: can't listen" in ended.stderr
-    assert "Traceback" not in ended.stderr
+    completed = subprocess.run(
+        program, capture_output=True, text=True, timeout=60
+    )
+    assert completed.returncode == status.ExitStatus.ERROR
+    assert "pollenfork: can't listen" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
 LOG = (
@@ -173,50 +173,50 @@
 )
 
 
-def test_explain_tells_the_course_of_a_request(tmp_path):
+def test_explain_writes_trace_of_request(tmp_path):
     log = tmp_path / "i-1.log"
     log.write_text(LOG)
-    ended, written, _ = run("explain", "q", log)
-    assert ended is status.ExitStatus.SUCCESS
-    assert "refused  status=503 reason=no_runner" in written
-    assert "cause: refused: no runner of its service takes work" in written
-    ended, written, _ = run("explain", "q", log, "--format", "json")
-    assert json.loads(written)["course"]["lines"][0]["event"] == "refused"
+    exit_status, stdout, _ = run("explain", "q", log)
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert "refused  status=503 reason=no_runner" in stdout
+    assert "cause: refused: no runner of its service takes work" in stdout
+    exit_status, stdout, _ = run("explain", "q", log, "--format", "json")
+    assert json.loads(stdout)["course"]["lines"][0]["event"] == "refused"
 
 
-def test_explain_says_what_it_cannot_do(tmp_path):
-    ended, _, error = run("explain", "q", tmp_path / "missing.log")
-    assert ended is status.ExitStatus.USAGE
+def test_explain_reports_missing_file_lines_and_request(tmp_path):
+    exit_status, _, error = run("explain", "q", tmp_path / "missing.log")
+    assert exit_status is status.ExitStatus.USAGE
     assert error.count("\n") == 1 and "can't be read" in error
     empty = tmp_path / "empty.log"
     empty.write_text("nothing\n")
-    ended, _, error = run("explain", "q", empty)
-    assert ended is status.ExitStatus.USAGE and "no log lines" in error
+    exit_status, _, error = run("explain", "q", empty)
+    assert exit_status is status.ExitStatus.USAGE and "no log lines" in error
     empty.write_text(LOG)
-    ended, written, _ = run("explain", "other", empty)
-    assert ended is status.ExitStatus.ERROR
-    assert "cause: no line names it" in written
+    exit_status, stdout, _ = run("explain", "other", empty)
+    assert exit_status is status.ExitStatus.ERROR
+    assert "cause: no line names it" in stdout
 
 
-def test_losses_tells_how_requests_ended(tmp_path):
+def test_losses_counts_how_requests_ended(tmp_path):
     log = tmp_path / "i-1.log"
     log.write_text(LOG)
-    ended, written, _ = run("losses", log)
-    assert ended is status.ExitStatus.SUCCESS
-    assert "refused: no_runner" in written
+    exit_status, stdout, _ = run("losses", log)
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert "refused: no_runner" in stdout
     log.write_text("nothing\n")
-    ended, _, error = run("losses", log)
-    assert ended is status.ExitStatus.USAGE and "no log lines" in error
+    exit_status, _, error = run("losses", log)
+    assert exit_status is status.ExitStatus.USAGE and "no log lines" in error
 
 
-def test_a_reader_that_has_enough_is_no_fault(tmp_path):
+def test_closed_output_pipe_writes_no_error(tmp_path):
     log = tmp_path / "i-1.log"
     log.write_text(LOG)
     command = [sys.executable, "-m", "pollenfork", "losses", str(log)]
     with subprocess.Popen(
         command, stdout=subprocess.PIPE, stderr=subprocess.PIPE
-    ) as running:
-        running.stdout.close()
-        error = running.stderr.read()
+    ) as process:
+        process.stdout.close()
+        error = process.stderr.read()
     assert error == b""
-    assert running.returncode == 1
+    assert process.returncode == 1
--- a/pollenfork/cli/tests/test_operating.py
+++ b/pollenfork/cli/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a real interface over HTTP."""
+"""Tests the operators' commands over HTTP with a real interface."""
 
 import json
 import threading
@@ -13,11 +13,11 @@
 from pollenfork.settings.tests import support as settings_support
 
 SUMMARY = "teams/linework/classes/summary"
-NOBODY = "http://127.0.0.1:1"
+UNREACHABLE_URL = "http://127.0.0.1:1"
 
 
-class Served:
-    """An operator interface that listens; `lost` calls get no answer."""
+class OperatorServer:
+    """Serves an operator interface; the next `lost` answers are dropped."""
 
     def __init__(self) -> None:
         self.harness = support.Harness()
@@ -44,20 +44,20 @@
 
 
 @pytest.fixture
-def served(monkeypatch):
+def server(monkeypatch):
     monkeypatch.setattr(operating, "_wait", lambda seconds: None)
-    made = Served()
-    yield made
-    made.stop()
+    created = OperatorServer()
+    yield created
+    created.stop()
 
 
 @pytest.fixture
-def run(served, tmp_path):
+def run(server, tmp_path):
     token = tmp_path / "token"
     token.write_text(f"{settings_support.ROOT_TOKEN}\n")
 
     def call(*words, to=None):
-        target = ("--to", to or served.url, "--token-file", token)
+        target = ("--to", to or server.url, "--token-file", token)
         return test_core.run(*words, *target)
 
     return call
@@ -69,7 +69,7 @@
     return path
 
 
-def test_check_names_every_error(tmp_path):
+def test_check_reports_all_errors(tmp_path):
     good = write(tmp_path, settings_support.TREE)
     assert test_core.run("settings", "check", good)[:2] == (
         status.ExitStatus.SUCCESS,
@@ -80,56 +80,56 @@
         "teams.linework.classes.morning",
         {"tier": 9, "target_first_token_ms": 0},
     )
-    ended, shown, _ = test_core.run("settings", "check", write(tmp_path, tree))
-    assert ended is status.ExitStatus.REFUSED
-    assert shown.splitlines() == [
+    exit_status, stdout, _ = test_core.run(
+        "settings", "check", write(tmp_path, tree)
+    )
+    assert exit_status is status.ExitStatus.REFUSED
+    assert stdout.splitlines() == [
         "teams.linework.classes.morning: tier must be < 7",
         "teams.linework.classes.morning: target_first_token_ms must be > 0",
     ]
 
 
-def test_what_is_got_can_be_put_back_once(run, tmp_path):
-    ended, shown, told = run("settings", "get", SUMMARY)
-    assert ended is status.ExitStatus.SUCCESS
-    assert json.loads(shown) == {"tier": 4}
-    assert told == "revision 1, read from table\n"
+def test_value_read_can_be_written_back_once(run, tmp_path):
+    exit_status, stdout, stderr = run("settings", "get", SUMMARY)
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert json.loads(stdout) == {"tier": 4}
+    assert stderr == "revision 1, read from table\n"
     path = write(tmp_path, {"tier": 5})
     put = ("settings", "put", SUMMARY, path, "--revision", "1")
     assert run(*put)[1] == f"{SUMMARY} is at revision 2\n"
-    ended, _, told = run(*put)
-    assert ended is status.ExitStatus.CONFLICT
-    assert "is at revision 2" in told
+    exit_status, _, stderr = run(*put)
+    assert exit_status is status.ExitStatus.CONFLICT
+    assert "is at revision 2" in stderr
 
 
-def test_a_put_without_a_revision_creates_and_never_replaces(run, tmp_path):
+def test_put_without_revision_never_replaces(run, tmp_path):
     path = write(tmp_path, {"tier": 5})
-    ended, _, told = run("settings", "put", SUMMARY, path)
-    assert ended is status.ExitStatus.CONFLICT
-    assert "is at revision 1" in told
+    exit_status, _, stderr = run("settings", "put", SUMMARY, path)
+    assert exit_status is status.ExitStatus.CONFLICT
+    assert "is at revision 1" in stderr
 
 
-def test_a_put_whose_answer_is_lost_is_sent_again_and_has_one_effect(
-    run, served, tmp_path
+def test_put_with_lost_answer_is_retried_and_applied_once(
+    run, server, tmp_path
 ):
-    served.lost = 1
+    server.lost = 1
     path = write(tmp_path, {"tier": 5})
     put = ("settings", "put", SUMMARY, path, "--revision", "1")
-    ended, shown, _ = run(*put, "--format", "json")
-    assert ended is status.ExitStatus.SUCCESS
-    assert json.loads(shown)["repeated"] is True
-    assert json.loads(shown)["revision"] == 2
+    exit_status, stdout, _ = run(*put, "--format", "json")
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert json.loads(stdout)["repeated"] is True
+    assert json.loads(stdout)["revision"] == 2
 
 
-def test_a_put_that_stays_without_an_answer_says_how_to_repeat_it(
-    run, served, tmp_path
-):
-    served.lost = 1000
+def test_put_without_answer_reports_write_id_for_retry(run, server, tmp_path):
+    server.lost = 1000
     path = write(tmp_path, {"tier": 5})
     put = ("settings", "put", SUMMARY, path, "--revision", "1")
-    ended, _, told = run(*put)
-    assert ended is status.ExitStatus.UNREACHABLE
-    served.lost = 0
-    write_id = told.split("--write-id ")[1].strip()
+    exit_status, _, stderr = run(*put)
+    assert exit_status is status.ExitStatus.UNREACHABLE
+    server.lost = 0
+    write_id = stderr.split("--write-id ")[1].strip()
     again = run(*put, "--write-id", write_id)
     assert again[:2] == (
         status.ExitStatus.SUCCESS,
@@ -137,7 +137,7 @@
     )
 
 
-# Words, exit status, and what is told.
+# Arguments, exit status, and text on stderr.
 FAILURES = [
     (("settings", "put", SUMMARY, "{bad}", "--revision", "1"),
      status.ExitStatus.REFUSED,
@@ -152,43 +152,52 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("words", "ended", "told"), FAILURES)
-def test_failures_have_their_exit_status(run, tmp_path, words, ended, told):
+@pytest.mark.parametrize(("words", "exit_status", "stderr"), FAILURES)
+def test_failure_has_exit_status_and_message(
+    run, tmp_path, words, exit_status, stderr
+):
     bad = write(tmp_path, {"tier": 9})
-    found = run(*(bad if word == "{bad}" else word for word in words))
-    assert found[0] is ended
-    assert told in found[2]
+    outcome = run(*(bad if word == "{bad}" else word for word in words))
+    assert outcome[0] is exit_status
+    assert stderr in outcome[2]
 
 
-def test_a_write_that_no_instance_had_is_not_called_unknown(run, tmp_path):
+def test_write_that_was_never_sent_is_not_reported_unknown(run, tmp_path):
     path = write(tmp_path, {"tier": 5})
-    ended, _, told = run("settings", "put", SUMMARY, path, to=NOBODY)
-    assert ended is status.ExitStatus.UNREACHABLE
-    assert "--write-id" not in told
+    exit_status, _, stderr = run(
+        "settings", "put", SUMMARY, path, to=UNREACHABLE_URL
+    )
+    assert exit_status is status.ExitStatus.UNREACHABLE
+    assert "--write-id" not in stderr
 
 
-def test_the_next_instance_is_asked_where_one_is_gone(run, served):
-    ended, shown, _ = run("status", "--to", served.url, to=NOBODY)
-    assert ended is status.ExitStatus.SUCCESS
-    assert "entry-2" in shown
+def test_next_instance_is_called_if_one_is_unreachable(run, server):
+    exit_status, stdout, _ = run(
+        "status", "--to", server.url, to=UNREACHABLE_URL
+    )
+    assert exit_status is status.ExitStatus.SUCCESS
+    assert "entry-2" in stdout
 
 
-def test_a_command_needs_a_token_and_an_instance(served):
-    ended, _, told = test_core.run("status")
-    assert (ended, "--to" in told) == (status.ExitStatus.USAGE, True)
-    ended, _, told = test_core.run("status", "--to", served.url)
-    assert (ended, "--token-file" in told) == (status.ExitStatus.USAGE, True)
+def test_command_requires_token_and_instance(server):
+    exit_status, _, stderr = test_core.run("status")
+    assert (exit_status, "--to" in stderr) == (status.ExitStatus.USAGE, True)
+    exit_status, _, stderr = test_core.run("status", "--to", server.url)
+    assert (exit_status, "--token-file" in stderr) == (
+        status.ExitStatus.USAGE,
+        True,
+    )
 
 
-def test_tables_show_instances_endpoints_and_history(run):
+def test_tables_list_instances_endpoints_and_history(run):
     assert run("status")[1].splitlines()[2].split() == [
         "entry-2", "amman-2", "suspected", "0", "1", "-", "4.0", "s",
     ]  # fmt: skip
     assert run("endpoints")[1].splitlines()[1].split()[:7] == [
         "runner-1", "runner", "amman-1", "10.0.0.7:8000", "live", "3", "0",
     ]  # fmt: skip
-    shown = run("settings", "history", "teams/linework")[1]
-    assert shown.splitlines()[1].split()[-1] == "seed"
+    stdout = run("settings", "history", "teams/linework")[1]
+    assert stdout.splitlines()[1].split()[-1] == "seed"
     old = run("settings", "history", "teams/linework", "--revision", "1")
     assert json.loads(old[1]) == settings_support.LINEWORK
     assert run("drain", "runner-1")[1] == "runner-1 takes no new work\n"
@@ -199,8 +208,8 @@
     [("settings", "get"), ("settings", "put"), ("settings", "history"),
      ("settings", "check"), ("endpoints",), ("drain",), ("status",)],
 )  # fmt: skip
-def test_every_operator_command_has_help_with_an_example(words):
-    ended, shown, _ = test_core.run(*words, "--help")
-    assert ended is status.ExitStatus.SUCCESS
-    _, _, examples = shown.partition("Examples:")
+def test_every_operator_command_has_help_with_example(words):
+    exit_status, stdout, _ = test_core.run(*words, "--help")
+    assert exit_status is status.ExitStatus.SUCCESS
+    _, _, examples = stdout.partition("Examples:")
     assert " ".join(("pollenfork", *words)) in examples
--- a/pollenfork/cli/tests/test_trial.py
+++ b/pollenfork/cli/tests/test_trial.py
@@ -1,4 +1,4 @@
-"""The embedded system as `trial` starts it."""
+"""Tests the system in one process that `trial` starts."""
 
 import pathlib
 
@@ -18,24 +18,27 @@
 def find_unknown_classes(scenario: scenarios.Scenario) -> list[str]:
     lookups = snapshot.Snapshot(sample.make_tree(["127.0.0.1:1"]))
     unknown = []
-    for name, kind in scenario.classes.items():
-        caller = lookups.find_caller(kind.key)
-        if caller is None or kind.service_class not in caller.settings.classes:
+    for name, load_class in scenario.classes.items():
+        caller = lookups.find_caller(load_class.key)
+        if (
+            caller is None
+            or load_class.service_class not in caller.settings.classes
+        ):
             unknown.append(name)
     return unknown
 
 
-def test_a_short_burst_comes_back_whole():
+def test_short_burst_is_answered_completely():
     system = trial.System()
     system.start()
-    sent = sample.make_scenario()
+    scenario = sample.make_scenario()
     burst = msgspec.structs.replace(
-        sent,
+        scenario,
         classes={
             name: msgspec.structs.replace(
-                kind, answer=scenarios.Length(median=3)
+                load_class, answer=scenarios.Length(median=3)
             )
-            for name, kind in sent.classes.items()
+            for name, load_class in scenario.classes.items()
         },
         phases=(
             scenarios.Phase(
@@ -54,19 +57,19 @@
     finally:
         system.stop()
     assert report.classes
-    for figures in report.classes.values():
-        assert figures.whole == figures.sent
+    for results in report.classes.values():
+        assert results.whole == results.sent
     assert report.waste.wasted == 0
 
 
-def test_the_sample_load_names_classes_of_the_sample_tree():
+def test_sample_load_uses_classes_of_sample_tree():
     assert find_unknown_classes(sample.make_scenario()) == []
 
 
 @pytest.mark.parametrize(
     "path", sorted(SCENARIOS.glob("*.json")), ids=lambda path: path.stem
 )
-def test_each_scenario_file_suits_the_sample_tree(path):
+def test_each_scenario_file_matches_sample_tree(path):
     scenario = msgspec.json.decode(path.read_bytes(), type=scenarios.Scenario)
     assert scenario.phases
     assert find_unknown_classes(scenario) == []
--- a/pollenfork/cli/trial.py
+++ b/pollenfork/cli/trial.py
@@ -1,4 +1,4 @@
-"""Behaviour of `trial`: the whole system in one process, on loopback."""
+"""Implements `trial`: the whole system in one process, on loopback."""
 
 import contextlib
 import logging
@@ -47,38 +47,38 @@
         self.platform = ""
         self.service = ""
         self._clock = clock.SystemClock()
-        self._started = contextlib.ExitStack()
+        self._cleanup = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Starts everything; what had started is stopped on a failure."""
-        with contextlib.ExitStack() as started:
-            self._started = started
+        """Starts all parts; stops those already cleanup if one fails."""
+        with contextlib.ExitStack() as cleanup:
+            self._cleanup = cleanup
             engines = [self._start_engine(i) for i in range(_ENGINES)]
             standin = service.ServiceStandin(_LISTEN, self._clock)
-            serving = self._start_standin(standin)
-            tree = sample.make_tree(engines, [serving])
+            service_address = self._start_standin(standin)
+            tree = sample.make_tree(engines, [service_address])
             platform = self._start_platform(tree)
             self._write_tree(platform, tree)
             entries: list[application.Application] = []
             for number in range(_ENTRIES):
-                known = tuple(app.membership.address for app in entries)
-                entries.append(self._start_entry(number, platform, known))
+                peers = tuple(app.membership.address for app in entries)
+                entries.append(self._start_entry(number, platform, peers))
             for app in entries:
                 if not app.wait_until_ready(_READY_S):
                     raise TimeoutError("no settings came into force")
-            self._started = started.pop_all()
+            self._cleanup = cleanup.pop_all()
         self.engines = [f"http://{address}" for address in engines]
         self.entries = [f"http://{app.address}" for app in entries]
         self.platform = f"http://{platform}"
-        self.service = f"http://{serving}"
+        self.service = f"http://{service_address}"
 
     def stop(self) -> None:
-        """Stops everything, the newest first."""
-        self._started.close()
+        """Stops all parts in reverse order of their start."""
+        self._cleanup.close()
 
     def _start_standin(self, standin: Any) -> str:
         address: str = standin.start()
-        self._started.callback(standin.stop)
+        self._cleanup.callback(standin.stop)
         return address
 
     def _start_engine(self, number: int) -> str:
@@ -131,14 +131,14 @@
         )
         app = application.Application(settings, self._clock)
         app.start()
-        self._started.callback(app.stop)
+        self._cleanup.callback(app.stop)
         return app
 
 
 def run_trial(
     command: definition.Trial, env: context.Environment
 ) -> status.ExitStatus:
-    """Sends a short dawn burst of two teams and writes the report."""
+    """Sends a short burst of load from two teams and writes the report."""
     logging.getLogger().setLevel(logging.ERROR)
     system = System()
     system.start()
@@ -160,7 +160,7 @@
 
 
 def _show_addresses(system: System, env: context.Environment) -> None:
-    """Prints command lines to try."""
+    """Writes example commands for the running system."""
     entry = system.entries[0]
     auth = "-H 'Authorization: Bearer dispatch-key'"
     body = (
