--- a/pollenfork/endpoints/tests/test_holder.py
+++ b/pollenfork/endpoints/tests/test_holder.py
@@ -155,9 +155,9 @@
 def test_idle_holder_reads_and_writes_nothing():
     sim, first, _ = make_pair(checks_fencing=False)
     simulation.run_without_faults(sim, [first], 5.0)
-    before = sim.platform.state.read_counts()
+    before = sim.platform.state.get_counts()
     simulation.run_without_faults(sim, [first], 600.0)
-    assert sim.platform.state.read_counts() == before
+    assert sim.platform.state.get_counts() == before
 
 
 def test_lower_ranked_candidate_waits():
--- a/pollenfork/standin/platform/core.py
+++ b/pollenfork/standin/platform/core.py
@@ -153,7 +153,7 @@
             return result.Err(throttled)
         return result.Ok(None)
 
-    def read_counts(self) -> Counts:
+    def get_counts(self) -> Counts:
         """Returns the counts."""
         return Counts(dict(self.calls), self.effects)
 
--- a/pollenfork/standin/platform/front.py
+++ b/pollenfork/standin/platform/front.py
@@ -214,7 +214,7 @@
 
     def _report_counts(self, call: replies.Call) -> replies.Reply:
         del call
-        counts = self._gate.run(lambda state, now: state.read_counts())
+        counts = self._gate.run(lambda state, now: state.get_counts())
         return replies.write_json(counts)
 
 
