--- a/pollenfork/standin/platform/config.py
+++ b/pollenfork/standin/platform/config.py
@@ -35,16 +35,16 @@
 class Faults(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What goes wrong at the platform; all of it can change at run time.
+    """Faults to inject at the platform; all can be changed at run time.
 
     Attributes:
-        down: Calls are refused without effect.
-        throttle: Calls are refused for their rate, without effect.
+        down: Calls are refused as unavailable, without effect.
+        throttle: Calls are refused as over the rate limit, without effect.
         lose: Answers are lost, before or after the call's effect.
-        delay_s: Time that each call takes.
-        stale_list: The instance list stays as it was.
-        only: The operations concerned; none named means all.
-        times: How many calls are refused or lost; None means every one.
+        delay_s: Delay added to each call.
+        stale_list: The instance list is frozen at its present content.
+        only: The affected operations; empty means all.
+        times: Number of calls that are refused or lost; None means all.
     """
 
     down: bool = False
@@ -59,16 +59,16 @@
 class PlatformConfig(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The platform stand-in.
+    """Settings of the platform stand-in.
 
     Attributes:
-        listen: `host:port`; port 0 takes a free one.
-        reads_per_s: Reads beyond it are refused for their rate.
-        writes_per_s: The same for writes.
-        permits_per_s: Permits of the weight store.
-        list_lag_s: Age of the instance list.
-        instances: The list at the start.
-        threads: Calls served at once.
+        listen: `host:port`; port 0 picks a free port.
+        reads_per_s: Rate limit for reads; excess reads are throttled.
+        writes_per_s: Rate limit for writes.
+        permits_per_s: Rate limit for read permits of the weight store.
+        list_lag_s: Delay until a change of the instance list is visible.
+        instances: The instance list at the start.
+        threads: Number of calls served concurrently.
     """
 
     listen: str = "127.0.0.1:0"
--- a/pollenfork/standin/platform/core.py
+++ b/pollenfork/standin/platform/core.py
@@ -1,7 +1,7 @@
 """The platform's state, without I/O.
 
-One state can stand behind several fronts or fakes with faults of their own,
-which is how a partition is made.
+Several fronts or fakes, each with its own faults, can share one state; this
+simulates a network partition.
 """
 
 import collections
@@ -17,14 +17,14 @@
 from pollenfork.store import edges
 from pollenfork.store import errors
 
-_MEMORY_S = 600.0
-_LISTS_KEPT = 256
+_WRITE_ID_TTL_S = 600.0
+_MAX_LIST_VERSIONS = 256
 
-Answer = result.Result[edges.Committed, errors.PlatformFailure]
+CommitResult = result.Result[edges.Committed, errors.PlatformFailure]
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """What the state has counted, for tests and benchmarks."""
+    """Counters for tests and benchmarks."""
 
     calls: dict[configs.Operation, int]
     effects: int
@@ -36,7 +36,8 @@
     Each call takes `now` in monotonic seconds.
 
     Attributes:
-        lock: For callers of several threads; the state itself takes no lock.
+        lock: To be held by callers that use several threads; the methods
+            don't acquire it.
         calls: Calls that reached the state, by operation.
         effects: Transactions that took effect.
     """
@@ -49,22 +50,22 @@
         self.lock = threading.Lock()
         self._lag_s = config.list_lag_s
         self._rows: sortedcontainers.SortedDict = sortedcontainers.SortedDict()
-        self._answers: collections.OrderedDict[
-            ids.WriteId, tuple[float, Answer]
+        self._commit_results: collections.OrderedDict[
+            ids.WriteId, tuple[float, CommitResult]
         ] = collections.OrderedDict()
         self._objects: dict[str, bytes] = {}
-        self._lists = collections.deque(
-            [(float("-inf"), config.instances)], maxlen=_LISTS_KEPT
+        self._list_versions = collections.deque(
+            [(float("-inf"), config.instances)], maxlen=_MAX_LIST_VERSIONS
         )
-        self._reads = buckets.Bucket(config.reads_per_s)
-        self._writes = buckets.Bucket(config.writes_per_s)
-        self._permits = buckets.Bucket(config.permits_per_s)
+        self._reads = buckets.TokenBucket(config.reads_per_s)
+        self._writes = buckets.TokenBucket(config.writes_per_s)
+        self._permits = buckets.TokenBucket(config.permits_per_s)
 
     def read(
         self, key: str, now: float
     ) -> result.Result[edges.Row | None, errors.PlatformFailure]:
         """Returns the row at `key`."""
-        throttled = self._pass(configs.Operation.READ, self._reads, now)
+        throttled = self._throttle(configs.Operation.READ, self._reads, now)
         if throttled:
             return result.Err(throttled)
         return result.Ok(self._rows.get(key))
@@ -72,8 +73,8 @@
     def scan(
         self, prefix: str, after: str, limit: int, now: float
     ) -> result.Result[tuple[edges.Row, ...], errors.PlatformFailure]:
-        """Returns rows of a prefix past `after`, sorted by key."""
-        throttled = self._pass(configs.Operation.SCAN, self._reads, now)
+        """Returns rows with `prefix` and a key after `after`, sorted by key."""
+        throttled = self._throttle(configs.Operation.SCAN, self._reads, now)
         if throttled:
             return result.Err(throttled)
         rows: list[edges.Row] = []
@@ -84,24 +85,26 @@
                 rows.append(self._rows[key])
         return result.Ok(tuple(rows))
 
-    def commit(self, transaction: edges.Transaction, now: float) -> Answer:
-        """Applies a transaction, or answers a repeat as the first time."""
-        throttled = self._pass(configs.Operation.COMMIT, self._writes, now)
+    def commit(
+        self, transaction: edges.Transaction, now: float
+    ) -> CommitResult:
+        """Applies a transaction; a repeated write id gets the first result."""
+        throttled = self._throttle(configs.Operation.COMMIT, self._writes, now)
         if throttled:
             return result.Err(throttled)
-        self._forget(now)
-        known = self._answers.get(transaction.write_id)
-        if known:
-            return known[1]
-        answer = self._apply(transaction)
-        self._answers[transaction.write_id] = (now, answer)
-        return answer
+        self._expire_answers(now)
+        previous = self._commit_results.get(transaction.write_id)
+        if previous:
+            return previous[1]
+        outcome = self._apply_transaction(transaction)
+        self._commit_results[transaction.write_id] = (now, outcome)
+        return outcome
 
     def fetch(
         self, key: str, now: float
     ) -> result.Result[bytes | None, errors.PlatformFailure]:
         """Returns an object's bytes."""
-        throttled = self._pass(configs.Operation.FETCH, self._reads, now)
+        throttled = self._throttle(configs.Operation.FETCH, self._reads, now)
         if throttled:
             return result.Err(throttled)
         return result.Ok(self._objects.get(key))
@@ -110,7 +113,7 @@
         self, key: str, body: bytes, now: float
     ) -> result.Result[None, errors.PlatformFailure]:
         """Writes an object."""
-        throttled = self._pass(configs.Operation.STORE, self._writes, now)
+        throttled = self._throttle(configs.Operation.STORE, self._writes, now)
         if throttled:
             return result.Err(throttled)
         self._objects[key] = body
@@ -120,7 +123,7 @@
         self, key: str, now: float
     ) -> result.Result[None, errors.PlatformFailure]:
         """Deletes an object, if there is one."""
-        throttled = self._pass(configs.Operation.REMOVE, self._writes, now)
+        throttled = self._throttle(configs.Operation.REMOVE, self._writes, now)
         if throttled:
             return result.Err(throttled)
         self._objects.pop(key, None)
@@ -129,57 +132,72 @@
     def set_instances(
         self, instances: tuple[edges.ListedInstance, ...], now: float
     ) -> None:
-        """Changes the instance list; callers see it after the lag."""
-        self._lists.append((now, instances))
+        """Changes the instance list; callers see the change after the lag."""
+        self._list_versions.append((now, instances))
 
     def list_instances(
         self, now: float
     ) -> result.Result[
         tuple[edges.ListedInstance, ...], errors.PlatformFailure
     ]:
-        """Returns the list as it was one lag ago."""
-        throttled = self._pass(configs.Operation.INSTANCES, self._reads, now)
+        """Returns the instance list as of `list_lag_s` ago."""
+        throttled = self._throttle(
+            configs.Operation.INSTANCES, self._reads, now
+        )
         if throttled:
             return result.Err(throttled)
-        seen = [held for at, held in self._lists if at <= now - self._lag_s]
-        return result.Ok(seen[-1] if seen else self._lists[0][1])
+        visible = [
+            listed
+            for at, listed in self._list_versions
+            if at <= now - self._lag_s
+        ]
+        return result.Ok(visible[-1] if visible else self._list_versions[0][1])
 
     def request_permit(
         self, now: float
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Takes a permit of the weight store."""
-        throttled = self._pass(configs.Operation.PERMIT, self._permits, now)
+        """Acquires a read permit of the weight store."""
+        throttled = self._throttle(configs.Operation.PERMIT, self._permits, now)
         if throttled:
             return result.Err(throttled)
         return result.Ok(None)
 
     def get_counts(self) -> Counts:
-        """Returns the counts."""
+        """Returns a copy of the counters."""
         return Counts(dict(self.calls), self.effects)
 
-    def _pass(
-        self, operation: configs.Operation, bucket: buckets.Bucket, now: float
+    def _throttle(
+        self,
+        operation: configs.Operation,
+        bucket: buckets.TokenBucket,
+        now: float,
     ) -> errors.Throttled | None:
         self.calls[operation] += 1
         wait_s = bucket.take(now)
         if wait_s <= 0:
             return None
-        return errors.Throttled(detail="over the rate", retry_after_s=wait_s)
+        return errors.Throttled(
+            detail="rate limit exceeded", retry_after_s=wait_s
+        )
 
-    def _forget(self, now: float) -> None:
-        while self._answers:
-            write_id, (at, _) = next(iter(self._answers.items()))
-            if at + _MEMORY_S > now:
+    def _expire_answers(self, now: float) -> None:
+        while self._commit_results:
+            write_id, (at, _) = next(iter(self._commit_results.items()))
+            if at + _WRITE_ID_TTL_S > now:
                 return
-            del self._answers[write_id]
+            del self._commit_results[write_id]
 
-    def _apply(self, transaction: edges.Transaction) -> Answer:
+    def _apply_transaction(
+        self, transaction: edges.Transaction
+    ) -> CommitResult:
         writes: list[edges.Put | edges.Delete] = [*transaction.puts]
         writes += transaction.deletes
-        failed = tuple(w.key for w in writes if not self._meets(w))
+        failed = tuple(w.key for w in writes if not self._condition_holds(w))
         if failed:
             return result.Err(
-                errors.Conflicted(detail="a condition failed", keys=failed)
+                errors.Conflicted(
+                    detail="an expected version does not match", keys=failed
+                )
             )
         self.effects += 1
         versions = tuple(self._put(put) for put in transaction.puts)
@@ -187,7 +205,7 @@
             self._rows.pop(delete.key, None)
         return result.Ok(edges.Committed(versions))
 
-    def _meets(self, write: edges.Put | edges.Delete) -> bool:
+    def _condition_holds(self, write: edges.Put | edges.Delete) -> bool:
         if write.expected == edges.ANY_VERSION:
             return True
         row = self._rows.get(write.key)
--- a/pollenfork/standin/platform/fake.py
+++ b/pollenfork/standin/platform/fake.py
@@ -1,9 +1,9 @@
-"""The platform for tests: the stand-in's state behind the edges' Protocols.
+"""An in-process platform for tests that implements the store's Protocols.
 
 state = core.Platform(config.PlatformConfig())
 here = fake.FakePlatform(clock.ManualClock(), state=state)
 there = fake.FakePlatform(clock.ManualClock(), state=state)
-here.set_faults(config.Faults(down=True))  # Only `here` is cut off.
+here.set_faults(config.Faults(down=True))  # Affects `here` only.
 """
 
 from collections.abc import Callable
@@ -14,20 +14,20 @@
 from pollenfork import ids
 from pollenfork.standin.platform import config as configs
 from pollenfork.standin.platform import core
-from pollenfork.standin.platform import gate as gates
+from pollenfork.standin.platform import fault_injector
 from pollenfork.store import edges
 from pollenfork.store import errors
 
 
 class FakePlatform:
-    """All of the platform's services in this process.
+    """All of the platform's services, in process.
 
     Attributes:
         table: A `TableService`.
         objects: An `ObjectStore`.
         instances: An `InstanceList`.
         weights: A `WeightStore`.
-        state: What stands behind them; give it to another fake to share it.
+        state: The state of all services; pass it to another fake to share it.
     """
 
     def __init__(
@@ -37,50 +37,54 @@
         faults: configs.Faults = configs.Faults(),
         sleep: Callable[[float], None] = lambda seconds: None,
     ) -> None:
-        """Puts the services on `state`, or on an empty one.
+        """Creates the services on `state`, or on an empty state.
 
         Args:
-            clock: Times the rates, the lag and the memory of write ids.
-            state: Shared state.
+            clock: Clock for rate limits, list lag and expiry of write ids.
+            state: State to share with other fakes.
             faults: Faults at the start.
-            sleep: Called with the seconds that a slow call takes; a test may
-                advance its clock there.
+            sleep: Called with the delay of a slow call in seconds; a test may
+                advance its clock here.
         """
         self.state = state or core.Platform(configs.PlatformConfig())
-        self._gate = gates.Gate(self.state, clock, faults, sleep)
-        self.table = FakeTable(self._gate)
-        self.objects = FakeObjects(self._gate)
-        self.instances = FakeInstances(self._gate)
-        self.weights = FakeWeights(self._gate)
+        self._injector = fault_injector.FaultInjector(
+            self.state, clock, faults, sleep
+        )
+        self.table = FakeTable(self._injector)
+        self.objects = FakeObjects(self._injector)
+        self.instances = FakeInstances(self._injector)
+        self.weights = FakeWeights(self._injector)
 
     def set_faults(self, faults: configs.Faults) -> None:
-        """Puts faults in force for the calls to come."""
-        self._gate.set_faults(faults)
+        """Replaces the faults for subsequent calls."""
+        self._injector.set_faults(faults)
 
     def set_instances(self, *instances: edges.ListedInstance) -> None:
-        """Changes the instance list; it is seen after the lag."""
-        self._gate.run(lambda state, now: state.set_instances(instances, now))
+        """Changes the instance list; callers see the change after the lag."""
+        self._injector.run(
+            lambda state, now: state.set_instances(instances, now)
+        )
 
 
 class FakeTable:
     """The table service."""
 
-    def __init__(self, gate: gates.Gate) -> None:
-        self._gate = gate
+    def __init__(self, injector: fault_injector.FaultInjector) -> None:
+        self._injector = injector
 
     def read(
         self, key: str
     ) -> result.Result[edges.Row | None, errors.PlatformFailure]:
-        """Returns the row at `key`, or None where there is none."""
-        return self._gate.call(
+        """Returns the row at `key`, or None if there is none."""
+        return self._injector.call(
             configs.Operation.READ, lambda state, now: state.read(key, now)
         )
 
     def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> result.Result[tuple[edges.Row, ...], errors.PlatformFailure]:
-        """Returns rows whose key starts with `prefix`, past `after`."""
-        return self._gate.call(
+        """Returns rows with `prefix` and a key after `after`."""
+        return self._injector.call(
             configs.Operation.SCAN,
             lambda state, now: state.scan(prefix, after, limit, now),
         )
@@ -88,8 +92,8 @@
     def commit(
         self, transaction: edges.Transaction
     ) -> result.Result[edges.Committed, errors.PlatformFailure]:
-        """Applies the transaction; `Conflicted` where a condition fails."""
-        return self._gate.call(
+        """Applies the transaction; `Conflicted` if a condition fails."""
+        return self._injector.call(
             configs.Operation.COMMIT,
             lambda state, now: state.commit(transaction, now),
         )
@@ -98,29 +102,29 @@
 class FakeObjects:
     """The object store."""
 
-    def __init__(self, gate: gates.Gate) -> None:
-        self._gate = gate
+    def __init__(self, injector: fault_injector.FaultInjector) -> None:
+        self._injector = injector
 
     def fetch(
         self, key: str
     ) -> result.Result[bytes | None, errors.PlatformFailure]:
-        """Returns the object's bytes, or None where there is none."""
-        return self._gate.call(
+        """Returns the object's bytes, or None if there is none."""
+        return self._injector.call(
             configs.Operation.FETCH, lambda state, now: state.fetch(key, now)
         )
 
     def store(
         self, key: str, body: bytes
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Writes the object whole."""
-        return self._gate.call(
+        """Writes the object, replacing any previous content."""
+        return self._injector.call(
             configs.Operation.STORE,
             lambda state, now: state.store(key, body, now),
         )
 
     def remove(self, key: str) -> result.Result[None, errors.PlatformFailure]:
         """Deletes the object, if there is one."""
-        return self._gate.call(
+        return self._injector.call(
             configs.Operation.REMOVE, lambda state, now: state.remove(key, now)
         )
 
@@ -128,30 +132,30 @@
 class FakeInstances:
     """The instance list."""
 
-    def __init__(self, gate: gates.Gate) -> None:
-        self._gate = gate
+    def __init__(self, injector: fault_injector.FaultInjector) -> None:
+        self._injector = injector
 
     def fetch(
         self,
     ) -> result.Result[
         tuple[edges.ListedInstance, ...], errors.PlatformFailure
     ]:
-        """Returns the list, with its lag."""
-        return self._gate.list_instances()
+        """Returns the instance list as of `list_lag_s` ago."""
+        return self._injector.list_instances()
 
 
 class FakeWeights:
     """The weight store."""
 
-    def __init__(self, gate: gates.Gate) -> None:
-        self._gate = gate
+    def __init__(self, injector: fault_injector.FaultInjector) -> None:
+        self._injector = injector
 
     def request_read(
         self, model: ids.ModelName, version: str
     ) -> result.Result[None, errors.PlatformFailure]:
-        """Takes a permit; `Throttled` when over the rate."""
+        """Acquires a read permit; `Throttled` if over the rate limit."""
         del model, version
-        return self._gate.call(
+        return self._injector.call(
             configs.Operation.PERMIT,
             lambda state, now: state.request_permit(now),
         )
--- a/pollenfork/standin/platform/gate.py
+++ b/pollenfork/standin/platform/fault_injector.py
@@ -1,4 +1,4 @@
-"""The platform's state behind its faults, safe for several threads."""
+"""Thread-safe access to the platform's state, with injected faults."""
 
 from collections.abc import Callable
 import threading
@@ -18,11 +18,11 @@
 _RETRY_AFTER_S = 1.0
 
 
-class Gate:
-    """Makes calls to the state as the faults have it.
+class FaultInjector:
+    """Makes calls to the state and injects the faults in force.
 
-    `Unavailable` stands for a refusal before any effect, `Unanswered` for a
-    lost answer.
+    A call that is refused without effect fails with `Unavailable` or
+    `Throttled`, one whose answer is lost with `Unanswered`.
     """
 
     def __init__(
@@ -37,8 +37,8 @@
         self._sleep = sleep
         self._lock = threading.Lock()
         self._faults = faults
-        self._left = faults.times
-        self._stale: tuple[edges.ListedInstance, ...] | None = None
+        self._faults_left = faults.times
+        self._stale_list: tuple[edges.ListedInstance, ...] | None = None
 
     @property
     def faults(self) -> configs.Faults:
@@ -46,72 +46,76 @@
         return self._faults
 
     def set_faults(self, faults: configs.Faults) -> None:
-        """Puts faults in force for the calls to come."""
+        """Replaces the faults for subsequent calls."""
         stale = None
         if faults.stale_list:
-            stale = self.run(lambda s, now: s.list_instances(now)).unwrap()
+            stale = self.run(
+                lambda state, now: state.list_instances(now)
+            ).unwrap()
         with self._lock:
             self._faults = faults
-            self._left = faults.times
-            self._stale = stale
+            self._faults_left = faults.times
+            self._stale_list = stale
 
-    def run(self, act: Callable[[core.Platform, float], T]) -> T:
-        """Acts on the state as if there were no faults."""
+    def run(self, action: Callable[[core.Platform, float], T]) -> T:
+        """Runs `action` on the state, without faults."""
         with self._state.lock:
-            return act(self._state, self._clock.monotonic())
+            return action(self._state, self._clock.monotonic())
 
     def call(
         self,
         operation: configs.Operation,
-        act: Callable[[core.Platform, float], Outcome[T]],
+        action: Callable[[core.Platform, float], Outcome[T]],
     ) -> Outcome[T]:
-        """Makes one call, as the faults let it."""
+        """Makes one call, subject to the faults in force."""
         faults = self._faults
         if not faults.only or operation in faults.only:
             if faults.delay_s:
                 self._sleep(faults.delay_s)
-            failure = self._fail(faults)
+            failure = self._make_failure(faults)
         else:
             failure = None
         if failure is None:
-            return self.run(act)
+            return self.run(action)
         if faults.lose is configs.Loss.AFTER_EFFECT and isinstance(
             failure, errors.Unanswered
         ):
-            self.run(act)
+            self.run(action)
         return result.Err(failure)
 
     def list_instances(self) -> Outcome[tuple[edges.ListedInstance, ...]]:
-        """Returns the list, or the stale one."""
+        """Returns the instance list, or the frozen one if it is stale."""
         with self._lock:
-            stale = self._stale
+            stale = self._stale_list
 
-        def act(
+        def fetch_list(
             state: core.Platform, now: float
         ) -> Outcome[tuple[edges.ListedInstance, ...]]:
-            present = state.list_instances(now)
-            return present if stale is None else result.Ok(stale)
+            current = state.list_instances(now)
+            return current if stale is None else result.Ok(stale)
 
-        return self.call(configs.Operation.INSTANCES, act)
+        return self.call(configs.Operation.INSTANCES, fetch_list)
 
-    def _fail(self, faults: configs.Faults) -> errors.PlatformFailure | None:
+    def _make_failure(
+        self, faults: configs.Faults
+    ) -> errors.PlatformFailure | None:
         if not (faults.down or faults.throttle or faults.lose):
             return None
-        if not self._spend():
+        if not self._use_fault():
             return None
         if faults.down:
             return errors.Unavailable(detail="down")
         if faults.throttle:
             return errors.Throttled(
-                detail="over the rate", retry_after_s=_RETRY_AFTER_S
+                detail="rate limit exceeded", retry_after_s=_RETRY_AFTER_S
             )
         return errors.Unanswered(detail="the answer was lost")
 
-    def _spend(self) -> bool:
+    def _use_fault(self) -> bool:
         with self._lock:
-            if self._left is None:
+            if self._faults_left is None:
                 return True
-            if self._left == 0:
+            if self._faults_left == 0:
                 return False
-            self._left -= 1
+            self._faults_left -= 1
             return True
--- a/pollenfork/standin/platform/reply.py
+++ b/pollenfork/standin/platform/reply.py
@@ -1,4 +1,4 @@
-"""Calls to the platform stand-in, and its answers, as WSGI has them."""
+"""Calls to the platform stand-in and its replies, over WSGI."""
 
 from typing import Any
 import urllib.parse
@@ -9,7 +9,7 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """One call, read whole."""
+    """One call with its complete body."""
 
     method: str
     path: str
@@ -18,10 +18,10 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """One answer.
+    """One reply to a call.
 
     Attributes:
-        broken: The connection breaks instead of carrying it.
+        broken: Whether the connection is broken off instead of a reply.
     """
 
     status: str
@@ -33,8 +33,8 @@
     def make_headers(self) -> list[tuple[str, str]]:
         """Returns the headers.
 
-        The server closes the connection of an answer that is shorter than
-        it claims, and that is how a broken one is made.
+        waitress closes the connection after a body that is shorter than its
+        Content-Length; a broken reply claims one byte too many for this.
         """
         length = len(self.body) + (1 if self.broken else 0)
         return [
@@ -44,28 +44,28 @@
         ]
 
 
-def read_call(environ: dict[str, Any]) -> Call:
-    """Returns the call that a WSGI environment describes."""
+def parse_call(environ: dict[str, Any]) -> Call:
+    """Parses a call from a WSGI environment."""
     path = environ["PATH_INFO"].encode("latin-1").decode()
     query = urllib.parse.parse_qsl(environ.get("QUERY_STRING", ""))
     body = environ["wsgi.input"].read()
     return Call(environ["REQUEST_METHOD"], path, dict(query), body)
 
 
-def write_json(body: Any) -> Reply:
-    """Returns a successful answer."""
+def make_json(body: Any) -> Reply:
+    """Returns a 200 reply with a JSON body."""
     return Reply("200 OK", msgspec.json.encode(body))
 
 
-def write_failure(failure: errors.PlatformFailure) -> Reply:
-    """Returns the answer that tells of a failure."""
+def make_failure(failure: errors.PlatformFailure) -> Reply:
+    """Returns the reply that reports a failure."""
     if isinstance(failure, errors.Conflicted):
         body = msgspec.json.encode({"keys": failure.keys})
         return Reply("409 Conflict", body)
     if isinstance(failure, errors.Throttled):
-        wait = ("Retry-After", f"{failure.retry_after_s:.3f}")
-        return Reply("429 Too Many Requests", headers=(wait,))
+        retry_after = ("Retry-After", f"{failure.retry_after_s:.3f}")
+        return Reply("429 Too Many Requests", headers=(retry_after,))
     if isinstance(failure, errors.Unavailable):
-        none = ("X-Effect", "none")
-        return Reply("503 Service Unavailable", headers=(none,))
+        no_effect = ("X-Effect", "none")
+        return Reply("503 Service Unavailable", headers=(no_effect,))
     return Reply("502 Bad Gateway", broken=True)
--- a/pollenfork/standin/platform/tests/test_fake.py
+++ b/pollenfork/standin/platform/tests/test_fake.py
@@ -1,4 +1,4 @@
-"""The platform's promises and faults, through the edges' Protocols."""
+"""Guarantees and faults of the fake platform, through its Protocols."""
 
 import msgspec
 import pytest
@@ -13,11 +13,13 @@
 from pollenfork.store import errors
 
 
-def write(write_id: str, *puts: edges.Put, deletes=()) -> edges.Transaction:
+def make_transaction(
+    write_id: str, *puts: edges.Put, deletes=()
+) -> edges.Transaction:
     return edges.Transaction(ids.WriteId(write_id), puts, deletes)
 
 
-def list_entry(name: str) -> edges.ListedInstance:
+def make_instance(name: str) -> edges.ListedInstance:
     return edges.ListedInstance(
         name,
         edges.InstanceRole.ENTRY,
@@ -37,21 +39,23 @@
     return fake.FakePlatform(now)
 
 
-def test_versions_count_the_writes_of_a_row(platform):
+def test_each_write_increments_the_version_of_its_row(platform):
     table = platform.table
     put = edges.Put("a", b"1", edges.ABSENT)
-    assert table.commit(write("1", put)).unwrap().versions == (1,)
+    assert table.commit(make_transaction("1", put)).unwrap().versions == (1,)
     again = edges.Put("a", b"2", 1)
-    assert table.commit(write("2", again)).unwrap().versions == (2,)
+    assert table.commit(make_transaction("2", again)).unwrap().versions == (2,)
     assert table.read("a").unwrap() == edges.Row("a", b"2", 2)
-    table.commit(write("3", deletes=(edges.Delete("a", 2),))).unwrap()
+    table.commit(
+        make_transaction("3", deletes=(edges.Delete("a", 2),))
+    ).unwrap()
     assert table.read("a") == result.Ok(None)
 
 
-def test_a_failed_condition_writes_nothing_and_names_its_keys(platform):
+def test_a_failed_condition_writes_nothing_and_reports_its_keys(platform):
     table = platform.table
-    table.commit(write("1", edges.Put("a", b"1"))).unwrap()
-    changes = write(
+    table.commit(make_transaction("1", edges.Put("a", b"1"))).unwrap()
+    changes = make_transaction(
         "2",
         edges.Put("new", b"2", edges.ABSENT),
         edges.Put("a", b"2", edges.ABSENT),
@@ -63,23 +67,28 @@
     assert [row.key for row in table.scan("").unwrap()] == ["a"]
 
 
-def test_a_known_write_id_answers_as_the_first_time(platform, now):
+def test_a_repeated_write_id_returns_the_first_result(platform, now):
     table = platform.table
-    put = write("1", edges.Put("a", b"1", edges.ABSENT))
+    put = make_transaction("1", edges.Put("a", b"1", edges.ABSENT))
     first = table.commit(put)
-    conflict = table.commit(write("2", edges.Put("a", b"2", edges.ABSENT)))
+    conflict = table.commit(
+        make_transaction("2", edges.Put("a", b"2", edges.ABSENT))
+    )
     assert table.commit(put) == first
-    table.commit(write("3", deletes=(edges.Delete("a"),))).unwrap()
+    table.commit(make_transaction("3", deletes=(edges.Delete("a"),))).unwrap()
     assert (
-        table.commit(write("2", edges.Put("a", b"2", edges.ABSENT))) == conflict
+        table.commit(make_transaction("2", edges.Put("a", b"2", edges.ABSENT)))
+        == conflict
     )
     now.advance(601)
     assert table.commit(put).unwrap().versions == (1,)
 
 
-def test_a_scan_gives_pages_sorted_by_key(platform):
+def test_a_scan_returns_pages_sorted_by_key(platform):
     for key in ("b/2", "a/1", "b/1", "b/3", "c"):
-        platform.table.commit(write(key, edges.Put(key, b""))).unwrap()
+        platform.table.commit(
+            make_transaction(key, edges.Put(key, b""))
+        ).unwrap()
     page = platform.table.scan("b/", limit=2).unwrap()
     assert [row.key for row in page] == ["b/1", "b/2"]
     rest = platform.table.scan("b/", after="b/2").unwrap()
@@ -95,11 +104,11 @@
         ({"lose": configs.Loss.AFTER_EFFECT}, errors.Unanswered, True),
     ],
 )
-def test_each_fault_fails_as_its_type_says(
+def test_each_fault_returns_its_failure_type(
     platform, faults, failure, has_effect
 ):
     platform.set_faults(configs.Faults(**faults, times=4))
-    put = write("1", edges.Put("a", b"1", edges.ABSENT))
+    put = make_transaction("1", edges.Put("a", b"1", edges.ABSENT))
     first = platform.table.commit(put)
     others = (
         platform.objects.store("o", b"body"),
@@ -114,14 +123,14 @@
     assert platform.state.effects == 1
 
 
-def test_a_fault_can_concern_some_operations_only(platform):
+def test_a_fault_can_be_limited_to_some_operations(platform):
     faults = configs.Faults(down=True, only=(configs.Operation.COMMIT,))
     platform.set_faults(faults)
-    assert platform.table.commit(write("1")).is_err()
+    assert platform.table.commit(make_transaction("1")).is_err()
     assert platform.table.read("a").is_ok()
 
 
-def test_a_slow_call_takes_its_time(now):
+def test_a_delay_is_added_to_a_call(now):
     platform = fake.FakePlatform(
         now, faults=configs.Faults(delay_s=3), sleep=now.advance
     )
@@ -129,36 +138,38 @@
     assert now.monotonic() == 3
 
 
-def test_two_fakes_on_one_state_make_a_partition(now):
+def test_two_fakes_with_one_state_simulate_a_partition(now):
     state = core.Platform(configs.PlatformConfig())
     here = fake.FakePlatform(now, state=state)
     there = fake.FakePlatform(now, state=state)
     here.set_faults(configs.Faults(down=True))
-    there.table.commit(write("1", edges.Put("a", b"1"))).unwrap()
+    there.table.commit(make_transaction("1", edges.Put("a", b"1"))).unwrap()
     assert here.table.read("a").is_err()
     here.set_faults(configs.Faults())
     assert here.table.read("a").unwrap().value == b"1"
 
 
-def test_the_instance_list_lags_and_goes_stale(now):
-    config = configs.PlatformConfig(list_lag_s=5, instances=(list_entry("a"),))
+def test_the_instance_list_lags_and_can_be_frozen(now):
+    config = configs.PlatformConfig(
+        list_lag_s=5, instances=(make_instance("a"),)
+    )
     platform = fake.FakePlatform(now, state=core.Platform(config))
 
-    def names():
+    def list_names():
         return [listed.name for listed in platform.instances.fetch().unwrap()]
 
     now.advance(10)
-    platform.set_instances(list_entry("b"))
+    platform.set_instances(make_instance("b"))
     now.advance(4)
-    assert names() == ["a"]
+    assert list_names() == ["a"]
     now.advance(1)
-    assert names() == ["b"]
+    assert list_names() == ["b"]
     platform.set_faults(configs.Faults(stale_list=True))
     platform.set_instances()
     now.advance(60)
-    assert names() == ["b"]
+    assert list_names() == ["b"]
     platform.set_faults(configs.Faults())
-    assert names() == []
+    assert list_names() == []
 
 
 @pytest.mark.parametrize(
--- a/pollenfork/standin/platform/tests/test_front.py
+++ b/pollenfork/standin/platform/tests/test_front.py
@@ -1,7 +1,7 @@
-"""The platform stand-in over HTTP, as its adapter sees it.
+"""The platform stand-in over HTTP, through the store's HTTP client.
 
-The adapter on the stand-in must answer as the fake does, so both run the
-same session.
+The client with the stand-in must behave as the fake does, so the same tests
+run against both.
 """
 
 import pytest
@@ -19,7 +19,7 @@
 
 
 class Remote:
-    """The stand-in behind the adapter, in the shape of the fake."""
+    """The HTTP client and stand-in, with the interface of the fake."""
 
     def __init__(self) -> None:
         self.standin = front.PlatformStandin(
@@ -40,9 +40,9 @@
 
 @pytest.fixture
 def remote():
-    made = Remote()
-    yield made
-    made.standin.stop()
+    remote = Remote()
+    yield remote
+    remote.standin.stop()
 
 
 @pytest.fixture(params=["fake", "remote"])
@@ -52,28 +52,32 @@
     return request.getfixturevalue("remote")
 
 
-def write(write_id: str, *puts: edges.Put, deletes=()) -> edges.Transaction:
+def make_transaction(
+    write_id: str, *puts: edges.Put, deletes=()
+) -> edges.Transaction:
     return edges.Transaction(ids.WriteId(write_id), puts, deletes)
 
 
-def test_a_session_of_the_table(platform):
+def test_table_operations(platform):
     table = platform.table
     key, value = "settings/teams/línea 1", b"\x00\xff"
     put = edges.Put(key, value, edges.ABSENT)
-    assert table.commit(write("1", put)).unwrap().versions == (1,)
-    assert table.commit(write("1", put)).unwrap().versions == (1,)
+    assert table.commit(make_transaction("1", put)).unwrap().versions == (1,)
+    assert table.commit(make_transaction("1", put)).unwrap().versions == (1,)
     assert table.read(key) == result.Ok(edges.Row(key, value, 1))
-    failure = table.commit(write("2", put)).unwrap_err()
+    failure = table.commit(make_transaction("2", put)).unwrap_err()
     assert isinstance(failure, errors.Conflicted)
     assert failure.keys == (key,)
     assert table.scan("settings/", limit=1).unwrap()[0].key == key
     assert table.scan("settings/", after=key).unwrap() == ()
-    table.commit(write("3", deletes=(edges.Delete(key, 1),))).unwrap()
+    table.commit(
+        make_transaction("3", deletes=(edges.Delete(key, 1),))
+    ).unwrap()
     assert table.read(key) == result.Ok(None)
     assert platform.state.effects == 2
 
 
-def test_a_session_of_objects_instances_and_weights(platform):
+def test_object_instance_and_weight_operations(platform):
     assert platform.objects.fetch("a/b") == result.Ok(None)
     platform.objects.store("a/b", b"\x00body").unwrap()
     assert platform.objects.fetch("a/b") == result.Ok(b"\x00body")
@@ -104,9 +108,11 @@
         ({"lose": configs.Loss.AFTER_EFFECT}, errors.Unanswered, 1),
     ],
 )
-def test_each_fault_reads_the_same_on_both(platform, faults, failure, effects):
+def test_each_fault_has_the_same_effect_on_both(
+    platform, faults, failure, effects
+):
     platform.set_faults(configs.Faults(**faults, times=1))
-    put = write("1", edges.Put("a", b"1", edges.ABSENT))
+    put = make_transaction("1", edges.Put("a", b"1", edges.ABSENT))
     first = platform.table.commit(put).unwrap_err()
     assert type(first) is failure
     assert platform.state.effects == effects
@@ -114,14 +120,14 @@
     assert platform.state.effects == 1
 
 
-def test_a_slow_platform_is_an_unanswered_one(remote):
+def test_a_read_timeout_counts_as_unanswered(remote):
     channel = client.Channel(remote.address, read_timeout_s=0.05)
     remote.set_faults(configs.Faults(delay_s=0.2, times=1))
     failure = client.HttpTable(channel).read("a").unwrap_err()
     assert isinstance(failure, errors.Unanswered)
 
 
-def test_faults_are_set_and_counts_read_over_http(remote):
+def test_faults_and_counts_are_available_over_http(remote):
     def send(method, path, body=None):
         url = f"http://{remote.address}{path}"
         return urllib3.request(method, url, json=body, retries=False)
--- a/pollenfork/standin/platform/tests/test_machine.py
+++ b/pollenfork/standin/platform/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Random writes with lost answers against a model of the table."""
+"""Random writes with lost answers, compared with a model of the table."""
 
 from hypothesis import stateful
 from hypothesis import strategies as st
@@ -12,49 +12,49 @@
 
 KEYS = st.sampled_from(["a", "a/1", "b"])
 EXPECTED = st.integers(edges.ANY_VERSION, 3)
-MEMORY_S = 600.0
+WRITE_ID_TTL_S = 600.0
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """The model keeps rows and, by write id, what was answered and when."""
+    """The model holds the rows and, by write id, the time and the answer."""
 
     def __init__(self) -> None:
         super().__init__()
         self.clock = clock.ManualClock()
         self.platform = fake.FakePlatform(self.clock)
         self.rows: dict[str, edges.Row] = {}
-        self.known: dict[str, tuple[float, object]] = {}
+        self.answers: dict[str, tuple[float, object]] = {}
         self.effects = 0
 
     def expect(self, transaction: edges.Transaction) -> object:
-        """Returns the answer that the model gives, and takes the effect."""
-        known = self.known.get(transaction.write_id)
-        if known and self.clock.monotonic() < known[0] + MEMORY_S:
-            return known[1]
+        """Applies the transaction to the model and returns its answer."""
+        previous = self.answers.get(transaction.write_id)
+        if previous and self.clock.monotonic() < previous[0] + WRITE_ID_TTL_S:
+            return previous[1]
         answer = self.apply(transaction)
-        self.known[transaction.write_id] = (self.clock.monotonic(), answer)
+        self.answers[transaction.write_id] = (self.clock.monotonic(), answer)
         return answer
 
     def apply(self, transaction: edges.Transaction) -> object:
         writes = (*transaction.puts, *transaction.deletes)
-        failed = tuple(w.key for w in writes if not self.holds(w))
+        failed = tuple(w.key for w in writes if not self.condition_holds(w))
         if failed:
             return failed
         self.effects += 1
         versions = []
         for put in transaction.puts:
-            version = self.version(put.key) + 1
+            version = self.get_version(put.key) + 1
             self.rows[put.key] = edges.Row(put.key, put.value, version)
             versions.append(version)
         for delete in transaction.deletes:
             self.rows.pop(delete.key, None)
         return edges.Committed(tuple(versions))
 
-    def holds(self, write) -> bool:
+    def condition_holds(self, write) -> bool:
         any_version = write.expected == edges.ANY_VERSION
-        return any_version or write.expected == self.version(write.key)
+        return any_version or write.expected == self.get_version(write.key)
 
-    def version(self, key: str) -> int:
+    def get_version(self, key: str) -> int:
         return self.rows[key].version if key in self.rows else edges.ABSENT
 
     @stateful.rule(
@@ -87,7 +87,7 @@
         self.clock.advance(seconds)
 
     @stateful.invariant()
-    def the_table_is_as_the_model(self) -> None:
+    def the_table_equals_the_model(self) -> None:
         self.clock.advance(0.1)
         found = self.platform.table.scan("").unwrap()
         assert list(found) == [self.rows[key] for key in sorted(self.rows)]
