--- a/pollenfork/standin/__init__.py
+++ b/pollenfork/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the engines, for tests and trials."""
+"""Stand-ins for the platform, engines and services, for tests and trials."""
--- a/pollenfork/standin/http.py
+++ b/pollenfork/standin/http.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 server of asyncio and h11 for the stand-ins.
+"""A small HTTP/1.1 server for the stand-ins, based on asyncio and h11.
 
-It holds hundreds of paced streams in one thread, which waitress with its
-thread for each answer can't, and it can break a connection on purpose.
+It serves hundreds of slow streams in one thread, which waitress can't, as it
+uses a thread for each response; and it can abort a connection on purpose.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One request, read whole; header names are in lower case."""
+    """One request with its complete body; header names are in lower case."""
 
     method: str
     path: str
@@ -32,7 +32,7 @@
 
 
 class Exchange:
-    """Where the answer to one request goes; for the loop's thread only."""
+    """Sends the response to one request; for the event loop's thread only."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         content_type: str = "application/json",
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         length = ("Content-Length", str(len(body)))
         self.start(status, (length, *headers), content_type)
         self.write(body)
@@ -64,23 +64,23 @@
         headers: tuple[tuple[str, str], ...] = (),
         content_type: str = "application/json",
     ) -> None:
-        """Sends the head of an answer."""
+        """Sends the status line and headers of a response."""
         pairs = [("Content-Type", content_type), *headers]
         if not self._keep_alive:
             pairs.append(("Connection", "close"))
         self._write(h11.Response(status_code=status, headers=pairs))
 
     def write(self, data: bytes) -> None:
-        """Sends a part of the answer's body."""
+        """Sends a part of the response body."""
         if data:
             self._write(h11.Data(data=data))
 
     def finish(self) -> None:
-        """Ends the answer."""
+        """Ends the response."""
         self._write(h11.EndOfMessage())
 
     def drop(self) -> None:
-        """Breaks the connection, as a crash does."""
+        """Aborts the connection, as a crash would."""
         self.dropped = True
         self._writer.transport.abort()
 
@@ -96,9 +96,9 @@
 
 
 class Server:
-    """Serves one address in a thread of its own.
+    """Serves one address in its own thread.
 
-    The handler answers through the exchange; it is cancelled when the caller
+    The handler responds through the exchange; it is cancelled if the client
     closes the connection first.
     """
 
@@ -116,12 +116,12 @@
         )
 
     def start(self) -> str:
-        """Listens; returns the address as `host:port`."""
+        """Starts listening; returns the address as `host:port`."""
         self._thread.start()
         return self.call(self._open())
 
     def stop(self) -> None:
-        """Breaks every connection and ends the thread."""
+        """Aborts all connections and stops the thread."""
         if not self._thread.is_alive():
             return
         self.call(self._close())
@@ -130,16 +130,19 @@
         self._loop.close()
 
     def call(self, work: Coroutine[None, None, T]) -> T:
-        """Runs `work` in the server's loop and returns its result."""
+        """Runs `work` in the server's event loop and returns its result."""
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
         return future.result(_CALL_TIMEOUT_S)
 
     def spawn(self, work: Coroutine[None, None, None]) -> None:
-        """Runs `work` in the server's loop until the server stops."""
+        """Starts `work` in the server's event loop, without waiting for it.
+
+        The task is cancelled when the server stops.
+        """
         asyncio.run_coroutine_threadsafe(work, self._loop)
 
     def drop_all(self) -> None:
-        """Breaks every connection; for the loop's thread only."""
+        """Aborts all connections; for the event loop's thread only."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -152,8 +155,8 @@
         self._server = await asyncio.start_server(
             self._serve, host, int(port), backlog=_BACKLOG
         )
-        bound = self._server.sockets[0].getsockname()
-        return f"{bound[0]}:{bound[1]}"
+        address = self._server.sockets[0].getsockname()
+        return f"{address[0]}:{address[1]}"
 
     async def _close(self) -> None:
         if self._server:
@@ -175,7 +178,7 @@
         except (OSError, h11.ProtocolError) as error:
             _LOG.debug("event=standin_connection_ended error=%s", error)
         except asyncio.CancelledError:
-            pass  # The server stops.
+            pass  # The server is stopping.
         finally:
             self._writers.discard(writer)
             writer.close()
@@ -186,24 +189,24 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        """Serves one request; returns whether the connection goes on."""
+        """Serves one request; returns whether the connection stays open."""
         request = await _read_request(connection, reader)
         if request is None:
             return False
         exchange = Exchange(connection, writer, self._keep_alive)
-        handling = asyncio.ensure_future(self._handle(request, exchange))
-        while not handling.done():
-            reading = asyncio.ensure_future(reader.read(_READ_SIZE))
+        handler_task = asyncio.ensure_future(self._handle(request, exchange))
+        while not handler_task.done():
+            read_task = asyncio.ensure_future(reader.read(_READ_SIZE))
             await asyncio.wait(
-                {handling, reading}, return_when=asyncio.FIRST_COMPLETED
+                {handler_task, read_task}, return_when=asyncio.FIRST_COMPLETED
             )
-            if not reading.done():
-                reading.cancel()
-                await asyncio.wait({reading})
+            if not read_task.done():
+                read_task.cancel()
+                await asyncio.wait({read_task})
                 continue
-            if not await _receive(connection, reading):
-                handling.cancel()
-                await asyncio.wait({handling})
+            if not await _receive(connection, read_task):
+                handler_task.cancel()
+                await asyncio.wait({handler_task})
                 return False
         if exchange.dropped:
             return False
@@ -219,11 +222,11 @@
 
 
 async def _receive(
-    connection: h11.Connection, reading: asyncio.Future[bytes]
+    connection: h11.Connection, read_task: asyncio.Future[bytes]
 ) -> bool:
-    """Passes on what was read; False where the caller has gone."""
+    """Passes the data read to h11; returns False if the client is gone."""
     try:
-        data = await reading
+        data = await read_task
     except OSError:
         return False
     connection.receive_data(data)
@@ -233,9 +236,9 @@
 async def _read_request(
     connection: h11.Connection, reader: asyncio.StreamReader
 ) -> Request | None:
-    """Returns the next request, or None at the connection's end."""
+    """Returns the next request, or None if the connection has ended."""
     head: h11.Request | None = None
-    parts = []
+    body_parts = []
     while True:
         event = connection.next_event()
         if event is h11.NEED_DATA:
@@ -243,9 +246,9 @@
         elif isinstance(event, h11.Request):
             head = event
         elif isinstance(event, h11.Data):
-            parts.append(bytes(event.data))
+            body_parts.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage) and head:
-            return _build_request(head, b"".join(parts))
+            return _build_request(head, b"".join(body_parts))
         else:
             return None
 
--- a/pollenfork/standin/service.py
+++ b/pollenfork/standin/service.py
@@ -1,8 +1,8 @@
-"""A stand-in for a plain service beside the engines.
+"""A stand-in for a plain HTTP service, which isn't an engine.
 
 `POST /postings` records a posting and is not idempotent; `GET` only reads.
-It counts each run, so that a test can tell at most once from twice, and each
-call that arrives, so that a test can act while a call is under way.
+The stand-in counts executions, so that a test can detect a call that ran
+twice, and arrivals, so that a test can act while a call is in progress.
 """
 
 import asyncio
@@ -21,23 +21,23 @@
 
 
 class ServiceFault(enum.Enum):
-    """What goes wrong with a call."""
+    """A fault to inject into a call."""
 
     REFUSE = "refuse"  # 503 with `X-Outcome: not_run`.
-    FAIL = "fail"  # 500 after the effect, which proves nothing.
-    LOSE_BEFORE = "lose_before"  # The connection breaks before the effect.
-    LOSE_AFTER = "lose_after"  # The connection breaks after the effect.
+    FAIL = "fail"  # 500 after the effect; does not show whether it ran.
+    LOSE_BEFORE = "lose_before"  # Connection broken before the effect.
+    LOSE_AFTER = "lose_after"  # Connection broken after the effect.
 
 
 class ServiceFaults(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Faults of the service; all of them can change at run time.
+    """Faults of the service; all can be changed at run time.
 
     Attributes:
-        fault: What happens to calls.
-        times: To how many; None means every one.
-        delay_s: Time that each call takes.
+        fault: The fault to inject; None means none.
+        times: Number of calls that get the fault; None means all.
+        delay_s: Delay added to each call.
     """
 
     fault: ServiceFault | None = None
@@ -46,7 +46,7 @@
 
 
 class Posting(msgspec.Struct, frozen=True):
-    """One recorded call; `key` is its `Idempotency-Key`, if any."""
+    """One recorded call; `key` is its `Idempotency-Key`, or empty."""
 
     number: int
     path: str
@@ -55,11 +55,11 @@
 
 
 class ServiceStandin:
-    """One plain service, serving in a thread of its own.
+    """One plain service with its own server thread.
 
     Attributes:
-        postings: What was recorded, oldest first.
-        arrivals: Calls that reached it, whatever became of them.
+        postings: The recorded postings, oldest first.
+        arrivals: Number of calls that arrived, whatever their outcome.
     """
 
     def __init__(
@@ -68,25 +68,25 @@
         clock: clocks.Clock,
         faults: ServiceFaults = ServiceFaults(),
     ) -> None:
-        del clock  # It has no time of its own; the signature is the engines'.
+        del clock  # Unused; the signature is that of the engine stand-in.
         self.postings: list[Posting] = []
         self.arrivals = 0
         self._faults = faults
-        self._left = faults.times
+        self._faults_left = faults.times
         self._server = http.Server(listen, self._handle)
 
     def start(self) -> str:
-        """Listens; returns the address as `host:port`."""
+        """Starts listening; returns the address as `host:port`."""
         return self._server.start()
 
     def stop(self) -> None:
-        """Breaks every connection and ends the thread."""
+        """Aborts all connections and stops the thread."""
         self._server.stop()
 
     def set_faults(self, faults: ServiceFaults) -> None:
-        """Puts faults in force for the calls to come."""
+        """Replaces the faults for subsequent calls."""
         self._faults = faults
-        self._left = faults.times
+        self._faults_left = faults.times
 
     async def _handle(
         self, request: http.Request, exchange: http.Exchange
@@ -111,16 +111,16 @@
         self.arrivals += 1
         if self._faults.delay_s:
             await asyncio.sleep(self._faults.delay_s)
-        fault = self._take_fault()
+        fault = self._next_fault()
         if fault is ServiceFault.REFUSE:
             exchange.send(503, b"{}", (("X-Outcome", "not_run"),))
         elif fault is ServiceFault.LOSE_BEFORE:
             exchange.drop()
         else:
             status, body = self._run(request)
-            self._answer(exchange, fault, status, body)
+            self._send_reply(exchange, fault, status, body)
 
-    def _answer(
+    def _send_reply(
         self,
         exchange: http.Exchange,
         fault: ServiceFault | None,
@@ -149,10 +149,10 @@
         self.postings.append(posting)
         return 201, msgspec.json.encode({"number": posting.number})
 
-    def _take_fault(self) -> ServiceFault | None:
-        if self._left is None:
+    def _next_fault(self) -> ServiceFault | None:
+        if self._faults_left is None:
             return self._faults.fault
-        if self._left == 0:
+        if self._faults_left == 0:
             return None
-        self._left -= 1
+        self._faults_left -= 1
         return self._faults.fault
--- a/pollenfork/standin/tests/test_service.py
+++ b/pollenfork/standin/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The plain-service stand-in: what it records under each fault."""
+"""Calls and faults of the plain-service stand-in."""
 
 import pytest
 import urllib3
@@ -9,10 +9,10 @@
 
 @pytest.fixture
 def standin():
-    made = service.ServiceStandin("127.0.0.1:0", clock.SystemClock())
-    made.url = f"http://{made.start()}"
-    yield made
-    made.stop()
+    standin = service.ServiceStandin("127.0.0.1:0", clock.SystemClock())
+    standin.url = f"http://{standin.start()}"
+    yield standin
+    standin.stop()
 
 
 def post(standin, body="7 kWh"):
@@ -28,15 +28,15 @@
 
 def test_each_posting_is_recorded_with_its_number(standin):
     assert [post(standin).json()["number"] for _ in range(2)] == [1, 2]
-    read = urllib3.request("GET", f"{standin.url}/postings")
-    assert read.json() == {"postings": 2}
+    counted = urllib3.request("GET", f"{standin.url}/postings")
+    assert counted.json() == {"postings": 2}
     recorded = urllib3.request("GET", f"{standin.url}/runs").json()
     assert [(p["body"], p["key"]) for p in recorded] == [("7 kWh", "k")] * 2
 
 
-def test_a_call_is_an_arrival_before_it_runs(standin):
-    slow = {"delay_s": 0.2, "fault": "lose_before", "times": 1}
-    urllib3.request("POST", f"{standin.url}/faults", json=slow)
+def test_a_call_that_never_runs_counts_as_an_arrival(standin):
+    faults = {"delay_s": 0.2, "fault": "lose_before", "times": 1}
+    urllib3.request("POST", f"{standin.url}/faults", json=faults)
     with pytest.raises(urllib3.exceptions.HTTPError):
         post(standin)
     arrivals = urllib3.request("GET", f"{standin.url}/arrivals").json()
@@ -48,7 +48,7 @@
     [("refuse", 503, 0), ("fail", 500, 1), ("lose_before", 0, 0),
      ("lose_after", 0, 1)],
 )  # fmt: skip
-def test_a_fault_has_its_effect_once(standin, fault, status, recorded):
+def test_a_fault_is_injected_once(standin, fault, status, recorded):
     faults = {"fault": fault, "times": 1}
     urllib3.request("POST", f"{standin.url}/faults", json=faults)
     if status:
