--- a/pollenfork/poison/crashes.py
+++ b/pollenfork/poison/crashes.py
@@ -29,7 +29,7 @@
 _SUCCESSIVE = 2
 # Each hop between instances shifts the reported time of an answer by some
 # milliseconds. Times within this many seconds are taken for the same answer;
-# otherwise it would be passed on as news forever.
+# otherwise instances would forward it to each other forever.
 _CLEARANCE_TOLERANCE_S = 0.25
 # The shortest time in which a crashed runner is back, in seconds.
 _MIN_RESTART_S = 0.1
@@ -102,7 +102,7 @@
 
 
 class CrashHistory(msgspec.Struct):
-    """What is known of one request.
+    """The crashes and answers recorded for one request.
 
     Attributes:
         digest: The digest of the request.
@@ -136,7 +136,7 @@
             or from_sender >= _MAX_CRASHES_PER_SENDER
         ):
             return False
-        if any(_is_duplicate(crash, known) for known in self.crashes):
+        if any(_is_duplicate(crash, each) for each in self.crashes):
             return False
         self.crashes.append(crash)
         self.crashes.sort(key=lambda each: each.crashed_at)
@@ -150,17 +150,17 @@
             at: When a runner answered the request, or an operator released it.
             now: Monotonic seconds.
         """
-        left = [each for each in self.crashes if each.crashed_at > at]
-        known = (
+        remaining = [each for each in self.crashes if each.crashed_at > at]
+        already_cleared = (
             self.cleared_at is not None
             and at < self.cleared_at + _CLEARANCE_TOLERANCE_S
         )
-        if known and len(left) == len(self.crashes):
+        if already_cleared and len(remaining) == len(self.crashes):
             return False
         self.cleared_at = max(at, self.cleared_at or at)
         self.updated_at = now
-        self.crashes = left
-        if not left:
+        self.crashes = remaining
+        if not remaining:
             self.reporting_hosts.clear()
         # An answer that is reported late may leave too few crashes, or too few
         # successive ones for a request that was answered before.
--- a/pollenfork/poison/detector.py
+++ b/pollenfork/poison/detector.py
@@ -28,7 +28,7 @@
 _ENDED_LIMIT = 8192
 # A crash that another instance reports of a registered runner counts after this
 # many seconds without a sign of life. A connection is tried meanwhile, which
-# tells within some milliseconds.
+# shows it within some milliseconds.
 _UNCONFIRMED_S = 1.0
 # A runner unknown here, as it ended before this start or while this instance
 # was cut off, is taken to have crashed if this many other instances quarantine
@@ -118,8 +118,8 @@
             now: Monotonic seconds.
             connected_at: When the connection was opened, if known.
         """
-        known = self._runners.find(runner.id)
-        if known is None or known.leaving or runner.leaving:
+        registered = self._runners.find(runner.id)
+        if registered is None or registered.leaving or runner.leaving:
             return  # It may have ended as planned.
         if self._runners.get_kept_until(runner.id) is not None:
             return
@@ -130,7 +130,7 @@
             each for each in waiting if now - each.broken_at <= _PROOF_S
         ]
         waiting.append(_BrokenAttempt(digest, sent_at, now, connected_at))
-        if known.incarnation != runner.incarnation:
+        if registered.incarnation != runner.incarnation:
             self.record_ended(runner_hash, now, "registry")
         elif self._has_ended(runner_hash, now):
             self._confirm(runner_hash, now, "known")
@@ -145,8 +145,8 @@
         """
         if runner_hash not in self._ended and len(self._ended) >= _ENDED_LIMIT:
             del self._ended[next(iter(self._ended))]
-        known = self._ended.setdefault(runner_hash, _EndedRunner(now, now))
-        known.proven_at = now
+        ended = self._ended.setdefault(runner_hash, _EndedRunner(now, now))
+        ended.proven_at = now
         self._confirm(runner_hash, now, proof)
 
     def record_reported_end(self, runner_hash: int, now: float) -> None:
@@ -228,8 +228,8 @@
         """
         return [
             runner_hash
-            for runner_hash, known in self._ended.items()
-            if known.found_at >= since and not known.planned
+            for runner_hash, ended in self._ended.items()
+            if ended.found_at >= since and not ended.planned
         ]
 
     def probe(self, runner_hash: int) -> None:
@@ -252,10 +252,10 @@
         """
         if self._runners.find(runner) is not None:
             return  # It is draining, and continues with its requests.
-        known = self._hashes.pop(runner, None)
-        if known is None:
+        entry = self._hashes.pop(runner, None)
+        if entry is None:
             return
-        listed, runner_hash = known
+        listed, runner_hash = entry
         self.record_ended(runner_hash, now, "registry")
         self._ended[runner_hash].planned = listed.leaving
 
@@ -265,10 +265,10 @@
         for runner_hash, broken in list(self._broken.items()):
             if now - broken[-1].broken_at > _PROOF_S:
                 del self._broken[runner_hash]
-        _forget(self._reported_ended, now - _PROOF_S)
+        _drop_expired(self._reported_ended, now - _PROOF_S)
         before = now - _ENDED_S
-        for runner_hash, known in list(self._ended.items()):
-            if known.proven_at < before:
+        for runner_hash, ended in list(self._ended.items()):
+            if ended.proven_at < before:
                 del self._ended[runner_hash]
 
     def _is_corroborated(self, history: crashes.CrashHistory) -> bool:
@@ -315,8 +315,8 @@
     def _has_ended(self, runner_hash: int, now: float) -> bool:
         """Returns whether a runner is proven or reported to have just ended."""
         since = now - _PROOF_S
-        known = self._ended.get(runner_hash)
-        proven = known is not None and known.proven_at > since
+        ended = self._ended.get(runner_hash)
+        proven = ended is not None and ended.proven_at > since
         return proven or self._reported_ended.get(runner_hash, since) > since
 
     def _update_hashes(self) -> None:
@@ -324,22 +324,22 @@
         for runner_id in [each for each in self._hashes if each not in live]:
             del self._hashes[runner_id]
         for runner in live.values():
-            known = self._hashes.get(runner.id)
-            if known is None or known[0] is not runner:
+            entry = self._hashes.get(runner.id)
+            if entry is None or entry[0] is not runner:
                 self._hashes[runner.id] = runner, evidence.hash_runner(runner)
 
     def _find_runner(self, runner_hash: int) -> model.Runner | None:
         """Returns the registered runner with a hash; None if there is none."""
         # The second pass finds runners that were registered since the last one.
         for _ in range(2):
-            for runner, known in self._hashes.values():
-                if known == runner_hash:
+            for runner, each in self._hashes.values():
+                if each == runner_hash:
                     return runner
             self._update_hashes()
         return None
 
 
-def _forget(known: dict[int, float], before: float) -> None:
-    for runner_hash, at in list(known.items()):
+def _drop_expired(moments: dict[int, float], before: float) -> None:
+    for runner_hash, at in list(moments.items()):
         if at < before:
-            del known[runner_hash]
+            del moments[runner_hash]
--- a/pollenfork/poison/outbox.py
+++ b/pollenfork/poison/outbox.py
@@ -50,19 +50,19 @@
         if self.crash is None:
             age_ms = _to_ms(now - self.moment)
             return messages.Clearance(self.digest, age_ms, self.lifted)
-        return _to_runner_end(self.digest, self.crash, now)
+        return _to_runner_crash(self.digest, self.crash, now)
 
 
 class Outbox:
     """A rate-limited queue of updates for other instances."""
 
-    def __init__(self, known: tracker.RequestTracker) -> None:
+    def __init__(self, request_tracker: tracker.RequestTracker) -> None:
         """Creates an empty queue.
 
         Args:
-            known: The crash histories of requests.
+            request_tracker: The crash histories of requests.
         """
-        self._known = known
+        self._tracker = request_tracker
         self._urgent: collections.deque[_QueuedUpdate] = collections.deque(
             maxlen=_QUEUE_LIMIT
         )
@@ -78,7 +78,7 @@
         self, digest: ids.RequestDigest, crash: crashes.Crash
     ) -> None:
         """Queues a crash that this instance just learned of."""
-        history = self._known.find(digest)
+        history = self._tracker.find(digest)
         high_risk = history is not None and history.is_high_risk
         queue = self._urgent if high_risk else self._ordinary
         queue.append(_QueuedUpdate(digest, crash, crash.crashed_at))
@@ -118,7 +118,7 @@
 
     def list_all(self, now: float) -> list[messages.Suspicions]:
         """Returns all high-risk requests by datagram; an empty one if none."""
-        high_risk = self._known.list_high_risk()[::-1]
+        high_risk = self._tracker.list_high_risk()[::-1]
         pages: list[messages.Suspicions] = []
         while high_risk and len(pages) < _MAX_PAGES:
             page = _cut_page(high_risk)
@@ -128,7 +128,7 @@
 
     def take_page(self, now: float) -> messages.Suspicions | None:
         """Returns the next page of the high-risk requests, in rotation."""
-        high_risk = self._known.list_high_risk()
+        high_risk = self._tracker.list_high_risk()
         if not high_risk:
             return None
         first = self._page_from % len(high_risk)
@@ -143,20 +143,22 @@
 
         Those that are to be sent again go to its old end.
         """
-        again = []
+        to_resend = []
         for _ in range(min(count, len(queue))):
             each = queue.pop()
             each.transmissions_left -= 1
             if each.transmissions_left:
-                again.append(each)
+                to_resend.append(each)
             yield each
-        queue.extendleft(again)
+        queue.extendleft(to_resend)
 
 
 def _pack(updates: list[_Update]) -> messages.Suspicions:
-    ends = [each for each in updates if isinstance(each, messages.RunnerCrash)]
+    crashed = [
+        each for each in updates if isinstance(each, messages.RunnerCrash)
+    ]
     cleared = [each for each in updates if isinstance(each, messages.Clearance)]
-    return messages.Suspicions("", tuple(ends), tuple(cleared))
+    return messages.Suspicions("", tuple(crashed), tuple(cleared))
 
 
 def _cut_page(
@@ -177,7 +179,7 @@
     return messages.Suspicions(
         "",
         tuple(
-            _to_runner_end(history.digest, crash, now)
+            _to_runner_crash(history.digest, crash, now)
             for history in page
             for crash in history.crashes
         ),
@@ -189,7 +191,7 @@
     )
 
 
-def _to_runner_end(
+def _to_runner_crash(
     digest: ids.RequestDigest, crash: crashes.Crash, now: float
 ) -> messages.RunnerCrash:
     return messages.RunnerCrash(
--- a/pollenfork/poison/quarantine.py
+++ b/pollenfork/poison/quarantine.py
@@ -26,7 +26,7 @@
 
 
 class Quarantine:
-    """What one instance knows of poison requests, and tells other instances.
+    """One instance's view of poison requests, shared with other instances.
 
     Attributes:
         tracker: The crash histories of requests.
@@ -100,9 +100,9 @@
             now: Monotonic seconds.
         """
         history = self.tracker.find(digest)
-        known = [] if history is None else history.crashes
+        recorded = [] if history is None else history.crashes
         unconfirmed = self._list_unconfirmed(digest, now)
-        return {each.runner_hash for each in [*known, *unconfirmed]}
+        return {each.runner_hash for each in [*recorded, *unconfirmed]}
 
     def record_answer(self, digest: ids.RequestDigest, now: float) -> None:
         """Records that a runner has answered a request."""
@@ -121,16 +121,16 @@
             digest, runner, sent_at, now, connected_at
         )
 
-    def record_absence(self, runner_hash: int, here: bool) -> None:
+    def record_absence(self, runner_hash: int, local: bool) -> None:
         """Records that a runner no longer listens at its address.
 
         Args:
             runner_hash: A hash of the runner's incarnation and its address.
-            here: Whether this instance found that; otherwise another one
+            local: Whether this instance observed that; otherwise another one
                 reported it.
         """
         now = self._read_time()
-        if here:
+        if local:
             self._detector.record_ended(runner_hash, now, "nobody_there")
         else:
             self._detector.record_reported_end(runner_hash, now)
@@ -230,8 +230,10 @@
                 self._detector.probe(crash.runner_hash)
             if each.sender == messages.hash_name(host.encode()):
                 self.tracker.record_reporter(digest, host)
-        for kept in received.quarantined:
-            self.tracker.record_confirmation(ids.RequestDigest(kept), host)
+        for quarantined in received.quarantined:
+            self.tracker.record_confirmation(
+                ids.RequestDigest(quarantined), host
+            )
 
     def _list_unconfirmed(
         self, digest: ids.RequestDigest, now: float
--- a/pollenfork/poison/tests/fleet.py
+++ b/pollenfork/poison/tests/fleet.py
@@ -85,13 +85,13 @@
     def record_placements(self, placed):
         pass
 
-    def record_store_status(self, proof, moment, teller):
+    def record_store_status(self, status, moment, sender):
         pass
 
     def record_store_answer(self, moment):
         pass
 
-    def record_store_versions(self, proof, teller):
+    def record_store_versions(self, status, sender):
         pass
 
     def take_findings(self):
@@ -209,7 +209,7 @@
         def finish() -> None:
             if runner.id in self.down:
                 runner_hash = evidence.hash_runner(runner)
-                instance.quarantine.record_absence(runner_hash, here=True)
+                instance.quarantine.record_absence(runner_hash, local=True)
             else:
                 seen = instance.chooser.get_state(runner.id)
                 seen.reached_at = started_at
@@ -306,7 +306,7 @@
 
     def _report_absence(self, runner_hash: int, reporter: Instance) -> None:
         """Has an instance find a runner absent, and report that to others."""
-        reporter.quarantine.record_absence(runner_hash, here=True)
+        reporter.quarantine.record_absence(runner_hash, local=True)
         if not self.shares_findings:
             return
         for each in self.instances:
@@ -314,7 +314,7 @@
                 self.call_in(
                     core.PERIOD_S,
                     lambda each=each: each.quarantine.record_absence(
-                        runner_hash, here=False
+                        runner_hash, local=False
                     ),
                 )
 
@@ -352,7 +352,7 @@
             instance.chooser.settle(grant)
             grant.state.avoid_until = self.now + 0.8
             runner_hash = evidence.hash_runner(grant.runner)
-            instance.quarantine.record_absence(runner_hash, here=True)
+            instance.quarantine.record_absence(runner_hash, local=True)
             return
         self.sent.setdefault(digest, []).append(self.now)
         running = (instance, digest, grant, sent_at)
--- a/pollenfork/poison/tests/test_crashes.py
+++ b/pollenfork/poison/tests/test_crashes.py
@@ -4,9 +4,9 @@
 from pollenfork.poison import crashes
 
 
-def make(*found: crashes.Crash) -> crashes.CrashHistory:
+def make(*recorded: crashes.Crash) -> crashes.CrashHistory:
     history = crashes.CrashHistory(ids.RequestDigest(1))
-    for crash in found:
+    for crash in recorded:
         history.add(crash, crash.crashed_at)
     return history
 
@@ -43,5 +43,5 @@
 
 
 def test_simultaneous_crashes_are_not_successive() -> None:
-    found = [crashes.Crash(n, 10.0, 10.1 + n / 100, n) for n in range(4)]
-    assert crashes.count_successive(found) == 1
+    recorded = [crashes.Crash(n, 10.0, 10.1 + n / 100, n) for n in range(4)]
+    assert crashes.count_successive(recorded) == 1
--- a/pollenfork/poison/tests/test_popular.py
+++ b/pollenfork/poison/tests/test_popular.py
@@ -20,7 +20,7 @@
 
 
 def record(
-    known: tracker.RequestTracker,
+    tracked: tracker.RequestTracker,
     digest: ids.RequestDigest,
     runner_hash: int,
     crashed_at: float,
@@ -34,7 +34,7 @@
         runner_hash % 3,
         connected_at,
     )
-    known.record_crash(digest, crash, crashed_at + 0.01)
+    tracked.record_crash(digest, crash, crashed_at + 0.01)
 
 
 # Guards against a popular request being quarantined for good at all three
@@ -46,99 +46,99 @@
 def test_ends_under_another_request_and_sends_after_them_are_not_its_own() -> (
     None
 ):
-    known = make_tracker()
-    known.record_answer(POPULAR, 7.6)
-    record(known, POISON, FIRST, 7.679, 0.052)
-    record(known, POISON, SECOND, 7.732, 0.051)
-    record(known, POPULAR, SECOND, 7.733, 0.040)
-    record(known, POPULAR, FIRST, 7.735, 0.001)
-    record(known, POPULAR, FIRST, 8.020, 0.000)
-    record(known, POPULAR, SECOND, 8.026, 0.001)
-    record(known, POISON, THIRD, 8.037, 0.050)
-    record(known, POPULAR, THIRD, 8.038, 0.023)
-    assert known.evaluate(POISON, 8.05) is crashes.Verdict.QUARANTINED
-    assert known.evaluate(POPULAR, 8.05) is not crashes.Verdict.QUARANTINED
+    tracked = make_tracker()
+    tracked.record_answer(POPULAR, 7.6)
+    record(tracked, POISON, FIRST, 7.679, 0.052)
+    record(tracked, POISON, SECOND, 7.732, 0.051)
+    record(tracked, POPULAR, SECOND, 7.733, 0.040)
+    record(tracked, POPULAR, FIRST, 7.735, 0.001)
+    record(tracked, POPULAR, FIRST, 8.020, 0.000)
+    record(tracked, POPULAR, SECOND, 8.026, 0.001)
+    record(tracked, POISON, THIRD, 8.037, 0.050)
+    record(tracked, POPULAR, THIRD, 8.038, 0.023)
+    assert tracked.evaluate(POISON, 8.05) is crashes.Verdict.QUARANTINED
+    assert tracked.evaluate(POPULAR, 8.05) is not crashes.Verdict.QUARANTINED
 
 
 def test_it_is_released_once_later_reports_explain_its_crashes() -> None:
-    known = make_tracker()
-    known.record_answer(POPULAR, 7.0)
+    tracked = make_tracker()
+    tracked.record_answer(POPULAR, 7.0)
     for number, runner_hash in enumerate((FIRST, SECOND, THIRD)):
-        record(known, POPULAR, runner_hash, 8.0 + number, 0.04)
-    assert known.evaluate(POPULAR, 10.1) is crashes.Verdict.QUARANTINED
+        record(tracked, POPULAR, runner_hash, 8.0 + number, 0.04)
+    assert tracked.evaluate(POPULAR, 10.1) is crashes.Verdict.QUARANTINED
     for number, runner_hash in enumerate((FIRST, SECOND, THIRD)):
-        record(known, POISON, runner_hash, 8.001 + number, 0.05)
-    known.sweep(10.6)
-    assert known.evaluate(POPULAR, 10.6) is not crashes.Verdict.QUARANTINED
-    assert known.evaluate(POISON, 10.6) is crashes.Verdict.QUARANTINED
+        record(tracked, POISON, runner_hash, 8.001 + number, 0.05)
+    tracked.sweep(10.6)
+    assert tracked.evaluate(POPULAR, 10.6) is not crashes.Verdict.QUARANTINED
+    assert tracked.evaluate(POISON, 10.6) is crashes.Verdict.QUARANTINED
 
 
 @pytest.mark.parametrize("ran_s", [0.0, 0.005, 0.2])
 def test_a_send_to_a_crashed_runner_counts_no_crash(ran_s) -> None:
-    known = make_tracker()
-    known.record_answer(POPULAR, 5.0)
+    tracked = make_tracker()
+    tracked.record_answer(POPULAR, 5.0)
     for number, runner_hash in enumerate((FIRST, SECOND, THIRD)):
         other = ids.RequestDigest(100 + number)
-        record(known, other, runner_hash, 6.0 + number, 0.1)
-        record(known, POPULAR, runner_hash, 6.3 + number, ran_s)
-    assert known.evaluate(POPULAR, 9.0) is not crashes.Verdict.QUARANTINED
+        record(tracked, other, runner_hash, 6.0 + number, 0.1)
+        record(tracked, POPULAR, runner_hash, 6.3 + number, ran_s)
+    assert tracked.evaluate(POPULAR, 9.0) is not crashes.Verdict.QUARANTINED
 
 
 def test_a_request_answered_before_that_crashes_runners_is_quarantined() -> (
     None
 ):
-    known = make_tracker()
-    known.record_answer(POISON, 5.0)
+    tracked = make_tracker()
+    tracked.record_answer(POISON, 5.0)
     for number, runner_hash in enumerate((FIRST, SECOND, THIRD)):
         record(
-            known,
+            tracked,
             ids.RequestDigest(100 + number),
             runner_hash,
             6.0 + number,
             0.9,
         )
-        record(known, POISON, runner_hash, 6.001 + number, 0.05)
-    assert known.evaluate(POISON, 8.1) is crashes.Verdict.QUARANTINED
+        record(tracked, POISON, runner_hash, 6.001 + number, 0.05)
+    assert tracked.evaluate(POISON, 8.1) is crashes.Verdict.QUARANTINED
 
 
 def test_a_runner_that_is_connected_to_again_may_crash_again() -> None:
-    known = make_tracker()
-    known.record_answer(POISON, 5.0)
+    tracked = make_tracker()
+    tracked.record_answer(POISON, 5.0)
     for number in range(3):
         moment = 6.0 + number
-        record(known, POISON, FIRST, moment, 0.05, connected_at=moment - 0.05)
-    assert known.evaluate(POISON, 8.1) is crashes.Verdict.QUARANTINED
+        record(tracked, POISON, FIRST, moment, 0.05, connected_at=moment - 0.05)
+    assert tracked.evaluate(POISON, 8.1) is crashes.Verdict.QUARANTINED
 
 
 def test_a_crash_in_the_future_is_rejected() -> None:
-    known = make_tracker()
+    tracked = make_tracker()
     ahead = crashes.Crash(FIRST, 9.9, 10.1, 1)
-    assert not known.record_crash(POISON, ahead, 10.0)
+    assert not tracked.record_crash(POISON, ahead, 10.0)
 
 
 # This test and the next guard against a stale index of crashes by runner. It
 # was rebuilt after crashes reported by other instances, but neither after those
 # read from the store nor after histories were forgotten.
 def test_a_stored_history_explains_the_crashes_of_a_popular_request() -> None:
-    known = make_tracker()
-    known.record_answer(POPULAR, 7.0)
+    tracked = make_tracker()
+    tracked.record_answer(POPULAR, 7.0)
     for number, runner_hash in enumerate((FIRST, SECOND, THIRD)):
-        record(known, POPULAR, runner_hash, 8.0 + number, 0.04)
-    assert known.evaluate(POPULAR, 10.1) is crashes.Verdict.QUARANTINED
+        record(tracked, POPULAR, runner_hash, 8.0 + number, 0.04)
+    assert tracked.evaluate(POPULAR, 10.1) is crashes.Verdict.QUARANTINED
     stored = [
         crashes.Crash(runner_hash, 7.95 + number, 8.001 + number, 1, 1.0)
         for number, runner_hash in enumerate((FIRST, SECOND, THIRD))
     ]
-    known.restore(crashes.CrashHistory(POISON, stored), 10.2)
-    known.sweep(10.6)
-    assert known.evaluate(POPULAR, 10.6) is not crashes.Verdict.QUARANTINED
+    tracked.restore(crashes.CrashHistory(POISON, stored), 10.2)
+    tracked.sweep(10.6)
+    assert tracked.evaluate(POPULAR, 10.6) is not crashes.Verdict.QUARANTINED
 
 
 def test_a_forgotten_history_explains_no_crash() -> None:
-    known = make_tracker()
-    known.record_answer(POPULAR, 1.0)
-    record(known, POISON, FIRST, 2.0, 0.05)
-    known.sweep(2.1)
-    assert known._index_by_runner()
-    known.sweep(2.0 + 2 * crashes.EXPIRY_S)
-    assert not known._index_by_runner()
+    tracked = make_tracker()
+    tracked.record_answer(POPULAR, 1.0)
+    record(tracked, POISON, FIRST, 2.0, 0.05)
+    tracked.sweep(2.1)
+    assert tracked._index_by_runner()
+    tracked.sweep(2.0 + 2 * crashes.EXPIRY_S)
+    assert not tracked._index_by_runner()
--- a/pollenfork/poison/tests/test_quarantine.py
+++ b/pollenfork/poison/tests/test_quarantine.py
@@ -144,8 +144,8 @@
         one.runners.put(fleet.runners[name])
         fleet.send(one, OTHER, run_s=5.0)
         fleet.run(0.1)
-        known = one.runners.find(ids.EndpointId(name))
-        leaving = msgspec.structs.replace(known, leaving=True)
+        runner = one.runners.find(ids.EndpointId(name))
+        leaving = msgspec.structs.replace(runner, leaving=True)
         one.runners.put(leaving)
         fleet.run(1.0)
         fleet.crash(name)
@@ -268,7 +268,7 @@
     idle = (fleet.bytes - idle) / 10.0 / 8
     for number in range(1000):
         digest = ids.RequestDigest(5000 + number)
-        found = [
+        recorded = [
             crashes.Crash(
                 runner_hash,
                 fleet.now - 9 + 2 * runner_hash,
@@ -277,7 +277,7 @@
             )
             for runner_hash in range(3)
         ]
-        stored = crashes.CrashHistory(digest, found)
+        stored = crashes.CrashHistory(digest, recorded)
         fleet.instances[0].quarantine.tracker.restore(stored, fleet.now)
     before = fleet.bytes
     fleet.run(10.0)
--- a/pollenfork/poison/tracker.py
+++ b/pollenfork/poison/tracker.py
@@ -117,9 +117,11 @@
             return False
         history = self._find_or_add(digest, now)
         answered_at = self._answered.get(digest)
-        learned = answered_at is not None and history.clear(answered_at, now)
+        newly_cleared = answered_at is not None and history.clear(
+            answered_at, now
+        )
         history.answered = history.answered or answered_at is not None
-        if learned or history.is_before_clearance(crash):
+        if newly_cleared or history.is_before_clearance(crash):
             # The reporting instance may not know of the answer.
             self._notify_cleared(history, now)
         if not history.add(crash, now):
@@ -212,17 +214,17 @@
             more: The crashes, assumed to be genuine.
             now: Monotonic seconds.
         """
-        known = self._histories.get(digest, crashes.CrashHistory(digest))
+        current = self._histories.get(digest, crashes.CrashHistory(digest))
         assumed = crashes.CrashHistory(
             digest,
-            cleared_at=known.cleared_at or self._answered.get(digest),
-            answered=known.answered,
+            cleared_at=current.cleared_at or self._answered.get(digest),
+            answered=current.answered,
         )
-        for crash in (*self._list_credible(known, now), *more):
+        for crash in (*self._list_credible(current, now), *more):
             assumed.add(crash, now)
         counted = assumed.crashes
         if assumed.cleared_at is not None:
-            counted = self._exclude_explained(known, counted)
+            counted = self._exclude_explained(current, counted)
         return assumed.evaluate(counted, now) is Verdict.QUARANTINED
 
     def count_unrelated_crashes(
@@ -327,8 +329,8 @@
             each
             for each in candidates
             if not any(
-                _explains(other, known, each)
-                for other, known in by_runner.get(each.runner_hash, ())
+                _explains(other, earlier, each)
+                for other, earlier in by_runner.get(each.runner_hash, ())
                 if other is not history
             )
         ]
@@ -341,8 +343,8 @@
             self._by_runner = {}
             for history in self._histories.values():
                 for crash in history.crashes:
-                    found = self._by_runner.setdefault(crash.runner_hash, [])
-                    found.append((history, crash))
+                    entries = self._by_runner.setdefault(crash.runner_hash, [])
+                    entries.append((history, crash))
         return self._by_runner
 
     def _list_credible(
@@ -382,16 +384,16 @@
 
 
 def _explains(
-    other: crashes.CrashHistory, known: crashes.Crash, crash: crashes.Crash
+    other: crashes.CrashHistory, earlier: crashes.Crash, crash: crashes.Crash
 ) -> bool:
     """Returns whether another request accounts for a crash.
 
     Args:
         other: The other request.
-        known: Its crash of the same runner.
+        earlier: Its crash of the same runner.
         crash: The crash to be explained.
     """
-    if crash.is_explained_by(known):
+    if crash.is_explained_by(earlier):
         return True
-    suspected = other.cleared_at is None and other.has_successive_crashes
-    return suspected and crash.coincides_with(known)
+    is_likely_cause = other.cleared_at is None and other.has_successive_crashes
+    return is_likely_cause and crash.coincides_with(earlier)
