--- a/pollenfork/ledger/tests/test_sweeping.py
+++ b/pollenfork/ledger/tests/test_sweeping.py
@@ -166,7 +166,7 @@
 
     def commit_twice(transaction):
         commit(transaction)  # Its response was lost.
-        simulation.state._answers.clear()
+        simulation.state._commit_results.clear()
         return commit(transaction)
 
     first.platform.table.commit = commit_twice
