--- a/benchmarks/capacity_rows.py
+++ b/benchmarks/capacity_rows.py
@@ -159,14 +159,14 @@
             value=request,
             unit="cores",
             basis="measured cost x requests",
-            carrier="scheduler.py, decisions.py, entry/journal.py",
+            carrier="scheduler.py, decisions.py, entry/request_log.py",
         ),
         Row(
             what="memory of open streams",
             value=size.streams_each * slopes.relay_rss_mb_a_stream,
             unit="MB",
             basis="measured slope",
-            carrier="answers/kept.py, answers/stream.py",
+            carrier="answers/answer_buffer.py, answers/stream.py",
         ),
     ]
 
